--- a/bench/slopes_main.cpp
+++ b/bench/slopes_main.cpp
@@ -8,7 +8,7 @@
 #include "generation/ledger.h"
 #include "generation/sse_parser.h"
 #include "instance/completion_request.h"
-#include "instance/target_watch.h"
+#include "instance/target_poller.h"
 #include "metrics/log.h"
 #include "metrics/metrics.h"
 #include "peer/peer_message.h"
--- a/src/configuration/change_file.cpp
+++ b/src/configuration/change_file.cpp
@@ -3,7 +3,7 @@
 /** @file change_file.cpp Changes as operators write them, in TOML. */
 
 #include "configuration/record_type.h"
-#include "settings/toml_guard.h"
+#include "settings/toml_parser.h"
 #include <nlohmann/json.hpp>
 #include <sstream>
 #include <toml++/toml.h>
--- a/src/decision/call_meter.h
+++ b/src/decision/arrival_counter.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call_meter.h How many calls for a pool came lately. */
+/** @file arrival_counter.h How many calls for a pool came lately. */
 
 #pragma once
 
--- a/src/decision/decision_carrier.h
+++ b/src/decision/decision_executor.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file decision_carrier.h Hands decisions to the calls that they are about, in order. */
+/** @file decision_executor.h Hands decisions to the calls that they are about, in order. */
 
 #pragma once
 
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -4,7 +4,7 @@
 
 #include "decision/dispatcher.h"
 #include "core/hash_func.h"
-#include "decision/place_table.h"
+#include "decision/placement_table.h"
 #include <algorithm>
 
 namespace cottonspool {
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -5,8 +5,8 @@
 #pragma once
 
 #include "decision/call_queue.h"
+#include "decision/overload_tracker.h"
 #include "decision/quarantine.h"
-#include "decision/refusal_span.h"
 #include "decision/retry_budget.h"
 #include "decision/router_base.h"
 #include "decision/serving_type.h"
--- a/src/decision/refusal_span.cpp
+++ b/src/decision/overload_tracker.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file refusal_span.cpp When callers that are refused should come back. */
+/** @file overload_tracker.cpp When callers that are refused should come back. */
 
-#include "decision/refusal_span.h"
+#include "decision/overload_tracker.h"
 #include <algorithm>
 
 namespace cottonspool {
--- a/src/decision/refusal_span.h
+++ b/src/decision/overload_tracker.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file refusal_span.h For how long calls have been refused for want of room, and when coming back is worth it. */
+/** @file overload_tracker.h For how long calls have been refused for want of room, and when coming back is worth it. */
 
 #pragma once
 
--- a/src/decision/place_table.cpp
+++ b/src/decision/placement_table.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file place_table.cpp Places: which data halls are emptied, and in which halls a request may run. */
+/** @file placement_table.cpp Places: which data halls are emptied, and in which halls a request may run. */
 
-#include "decision/place_table.h"
+#include "decision/placement_table.h"
 #include <algorithm>
 
 namespace cottonspool {
--- a/src/decision/place_table.h
+++ b/src/decision/placement_table.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file place_table.h Places: which data halls are emptied, and in which halls a request may run. */
+/** @file placement_table.h Places: which data halls are emptied, and in which halls a request may run. */
 
 #pragma once
 
--- a/src/decision/quarantine.h
+++ b/src/decision/quarantine.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "core/time_type.h"
-#include "decision/request_print.h"
+#include "decision/request_fingerprint.h"
 #include <map>
 #include <string>
 #include <vector>
--- a/src/decision/request_print.cpp
+++ b/src/decision/request_fingerprint.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file request_print.cpp Fingerprints of requests. */
+/** @file request_fingerprint.cpp Fingerprints of requests. */
 
-#include "decision/request_print.h"
+#include "decision/request_fingerprint.h"
 #include "core/hash_func.h"
 #include <charconv>
 
--- a/src/decision/request_print.h
+++ b/src/decision/request_fingerprint.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file request_print.h What makes two requests the same one that comes again: a hash of all that does not change between tries. */
+/** @file request_fingerprint.h What makes two requests the same one that comes again: a hash of all that does not change between tries. */
 
 #pragma once
 
--- a/src/decision/request_type.h
+++ b/src/decision/request_type.h
@@ -6,8 +6,8 @@
 
 #include "core/id_type.h"
 #include "core/time_type.h"
-#include "decision/bound_type.h"
-#include "decision/request_print.h"
+#include "decision/request_fingerprint.h"
+#include "decision/restriction_type.h"
 #include <array>
 #include <optional>
 #include <string>
--- a/src/decision/bound_type.h
+++ b/src/decision/restriction_type.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file bound_type.h Why a target gets no request, and until when. */
+/** @file restriction_type.h Why a target gets no request, and until when. */
 
 #pragma once
 
--- a/src/decision/serving_type.h
+++ b/src/decision/serving_type.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "core/time_type.h"
-#include "decision/target_life.h"
+#include "decision/target_incarnation.h"
 #include <cstdint>
 #include <optional>
 #include <string>
--- a/src/decision/target_life.cpp
+++ b/src/decision/target_incarnation.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_life.cpp Names of targets' lives. */
+/** @file target_incarnation.cpp Names of targets' lives. */
 
-#include "decision/target_life.h"
+#include "decision/target_incarnation.h"
 
 namespace cottonspool {
 
--- a/src/decision/target_life.h
+++ b/src/decision/target_incarnation.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_life.h One life of a target, from its start to its end: what everything that is known of it belongs to. */
+/** @file target_incarnation.h One life of a target, from its start to its end: what everything that is known of it belongs to. */
 
 #pragma once
 
--- a/src/decision/target_sums.cpp
+++ b/src/decision/target_load.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_sums.cpp What is at targets, summed up, for other data halls and from them. */
+/** @file target_load.cpp What is at targets, summed up, for other data halls and from them. */
 
 #include "decision/target_table.h"
 
--- a/src/decision/target_places.cpp
+++ b/src/decision/target_placement.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_places.cpp Which targets may get new work by where they are, whether they are cold, and what they say of themselves. */
+/** @file target_placement.cpp Which targets may get new work by where they are, whether they are cold, and what they say of themselves. */
 
-#include "decision/place_table.h"
+#include "decision/placement_table.h"
 #include "decision/target_table.h"
 
 namespace cottonspool {
--- a/src/decision/target_reading.cpp
+++ b/src/decision/target_prefill.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_reading.cpp How long engines need for the prompts that they have not read yet. */
+/** @file target_prefill.cpp How long engines need for the prompts that they have not read yet. */
 
 #include "decision/target_table.h"
 #include <algorithm>
--- a/src/decision/target_limit.cpp
+++ b/src/decision/target_rate_limit.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_limit.cpp The limit that a target names with its answers. */
+/** @file target_rate_limit.cpp The limit that a target names with its answers. */
 
-#include "decision/target_limit.h"
+#include "decision/target_rate_limit.h"
 
 namespace cottonspool {
 
--- a/src/decision/target_limit.h
+++ b/src/decision/target_rate_limit.h
@@ -1,12 +1,12 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_limit.h The limit that a target names with its answers, and this instance's share of it. */
+/** @file target_rate_limit.h The limit that a target names with its answers, and this instance's share of it. */
 
 #pragma once
 
 #include "decision/limit_leases.h"
 #include "decision/rate_share.h"
-#include "decision/target_signs.h"
+#include "decision/target_signals.h"
 
 namespace cottonspool {
 
--- a/src/decision/target_bounds.cpp
+++ b/src/decision/target_restrictions.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_bounds.cpp What keeps requests from a target. */
+/** @file target_restrictions.cpp What keeps requests from a target. */
 
-#include "decision/target_bounds.h"
+#include "decision/target_restrictions.h"
 
 namespace cottonspool {
 
--- a/src/decision/target_bounds.h
+++ b/src/decision/target_restrictions.h
@@ -1,12 +1,13 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_bounds.h May a target get a request now; if not, why, and until when: all that keeps requests from it, in one place. */
+/** @file target_restrictions.h May a target get a request now; if not, why, and until when: all that keeps requests from it, in one place.
+ */
 
 #pragma once
 
-#include "decision/bound_type.h"
 #include "decision/cold_start.h"
-#include "decision/target_limit.h"
+#include "decision/restriction_type.h"
+#include "decision/target_rate_limit.h"
 
 namespace cottonspool {
 
--- a/src/decision/target_signs.h
+++ b/src/decision/target_signals.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_signs.h What a target says of itself with an answer. */
+/** @file target_signals.h What a target says of itself with an answer. */
 
 #pragma once
 
--- a/src/decision/target_table.h
+++ b/src/decision/target_table.h
@@ -6,7 +6,7 @@
 
 #include "core/name_table.h"
 #include "decision/length_estimate.h"
-#include "decision/target_bounds.h"
+#include "decision/target_restrictions.h"
 #include <deque>
 #include <map>
 #include <set>
--- a/src/gateway/end_records.cpp
+++ b/src/gateway/crash_records.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_records.cpp Keeps the ends of targets under requests in the store. */
+/** @file crash_records.cpp Keeps the ends of targets under requests in the store. */
 
-#include "gateway/end_records.h"
+#include "gateway/crash_records.h"
 #include "metrics/log.h"
 #include <algorithm>
 #include <utility>
--- a/src/gateway/end_records.h
+++ b/src/gateway/crash_records.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_records.h Keeps the ends of targets under requests in the store, where all instances find them. */
+/** @file crash_records.h Keeps the ends of targets under requests in the store, where all instances find them. */
 
 #pragma once
 
--- a/src/gateway/end_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_watch.cpp Finds out whether a target that broke sends off has ended. */
+/** @file crash_watch.cpp Finds out whether a target that broke sends off has ended. */
 
-#include "gateway/end_watch.h"
+#include "gateway/crash_watch.h"
 #include <algorithm>
 
 namespace cottonspool {
--- a/src/gateway/end_watch.h
+++ b/src/gateway/crash_watch.h
@@ -1,10 +1,10 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_watch.h Finds out whether a target that broke sends off has ended, and which requests it had just begun. */
+/** @file crash_watch.h Finds out whether a target that broke sends off has ended, and which requests it had just begun. */
 
 #pragma once
 
-#include "decision/request_print.h"
+#include "decision/request_fingerprint.h"
 #include "gateway/run_stage_type.h"
 #include "platform/wire_engine.h"
 #include <deque>
--- a/src/gateway/rule_switches.h
+++ b/src/gateway/feature_switches.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file rule_switches.h Mechanisms that can be switched one by one, to measure what each of them is worth. */
+/** @file feature_switches.h Mechanisms that can be switched one by one, to measure what each of them is worth. */
 
 #pragma once
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -5,11 +5,11 @@
 #pragma once
 
 #include "core/name_table.h"
-#include "decision/call_meter.h"
-#include "decision/decision_carrier.h"
-#include "decision/place_table.h"
-#include "gateway/end_records.h"
-#include "gateway/end_watch.h"
+#include "decision/arrival_counter.h"
+#include "decision/decision_executor.h"
+#include "decision/placement_table.h"
+#include "gateway/crash_records.h"
+#include "gateway/crash_watch.h"
 #include "gateway/peer_exchange.h"
 #include "gateway/relay_call.h"
 #include "metrics/metrics.h"
--- a/src/gateway/gateway_ends.cpp
+++ b/src/gateway/gateway_crashes.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_ends.cpp What a gateway does about targets that end under requests. */
+/** @file gateway_crashes.cpp What a gateway does about targets that end under requests. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
--- a/src/gateway/gateway_places.cpp
+++ b/src/gateway/gateway_placement.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_places.cpp What a gateway learns of places: halls that are emptied, homes that change, targets that come back cold. */
+/** @file gateway_placement.cpp What a gateway learns of places: halls that are emptied, homes that change, targets that come back cold. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
--- a/src/gateway/gateway_signs.cpp
+++ b/src/gateway/gateway_signals.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_signs.cpp What a gateway learns of a target from the target's own answers. */
+/** @file gateway_signals.cpp What a gateway learns of a target from the target's own answers. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
--- a/src/gateway/gateway_type.h
+++ b/src/gateway/gateway_type.h
@@ -8,7 +8,7 @@
 #include "decision/dispatcher.h"
 #include "decision/route_table.h"
 #include "decision/target_registry.h"
-#include "gateway/end_records.h"
+#include "gateway/crash_records.h"
 #include "gateway/peer_exchange.h"
 #include "platform/wire_request.h"
 #include "store/table_watch.h"
--- a/src/instance/event_ring.cpp
+++ b/src/instance/call_trace.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file event_ring.cpp What was decided for each of the last calls. */
+/** @file call_trace.cpp What was decided for each of the last calls. */
 
-#include "instance/event_ring.h"
+#include "instance/call_trace.h"
 
 namespace cottonspool {
 
--- a/src/instance/event_ring.h
+++ b/src/instance/call_trace.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file event_ring.h What was decided for each of the last calls, for `explain`. */
+/** @file call_trace.h What was decided for each of the last calls, for `explain`. */
 
 #pragma once
 
--- a/src/instance/configuration_keeper.cpp
+++ b/src/instance/configuration_manager.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file configuration_keeper.cpp Keeps one instance's configuration at the head. */
+/** @file configuration_manager.cpp Keeps one instance's configuration at the head. */
 
-#include "instance/configuration_keeper.h"
+#include "instance/configuration_manager.h"
 #include "metrics/log.h"
 #include <algorithm>
 #include <malloc.h>
--- a/src/instance/configuration_keeper.h
+++ b/src/instance/configuration_manager.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file configuration_keeper.h Keeps one instance's configuration at the head: boots, polls, takes pushes, accepts changes. */
+/** @file configuration_manager.h Keeps one instance's configuration at the head: boots, polls, takes pushes, accepts changes. */
 
 #pragma once
 
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -4,13 +4,13 @@
 
 #pragma once
 
-#include "decision/decision_carrier.h"
+#include "decision/decision_executor.h"
 #include "http/http_server.h"
+#include "instance/call_trace.h"
 #include "instance/claim_store.h"
-#include "instance/configuration_keeper.h"
-#include "instance/event_ring.h"
-#include "instance/order_keeper.h"
-#include "instance/target_watch.h"
+#include "instance/configuration_manager.h"
+#include "instance/order_controller.h"
+#include "instance/target_poller.h"
 #include "metrics/metrics.h"
 #include "peer/peer_links.h"
 #include "platform/platform_client.h"
--- a/src/instance/order_keeper.cpp
+++ b/src/instance/order_controller.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file order_keeper.cpp Fenced orders to the engines of the own hall. */
+/** @file order_controller.cpp Fenced orders to the engines of the own hall. */
 
-#include "instance/order_keeper.h"
+#include "instance/order_controller.h"
 #include "metrics/log.h"
 #include <nlohmann/json.hpp>
 
--- a/src/instance/order_keeper.h
+++ b/src/instance/order_controller.h
@@ -1,10 +1,10 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file order_keeper.h Fenced orders to the engines of the own hall, given by the holder of the hall's lease. */
+/** @file order_controller.h Fenced orders to the engines of the own hall, given by the holder of the hall's lease. */
 
 #pragma once
 
-#include "instance/target_watch.h"
+#include "instance/target_poller.h"
 #include "platform/platform_base.h"
 
 namespace cottonspool {
--- a/src/instance/target_watch.cpp
+++ b/src/instance/target_poller.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_watch.cpp Asks targets for their load reports. */
+/** @file target_poller.cpp Asks targets for their load reports. */
 
-#include "instance/target_watch.h"
+#include "instance/target_poller.h"
 #include "core/hash_func.h"
 #include "metrics/log.h"
 #include <algorithm>
--- a/src/instance/target_watch.h
+++ b/src/instance/target_poller.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_watch.h Asks targets for their load reports and learns from them who is ready and who leaves. */
+/** @file target_poller.h Asks targets for their load reports and learns from them who is ready and who leaves. */
 
 #pragma once
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -2,8 +2,8 @@
 
 /** @file main.cpp Command line of cottonspool. */
 
+#include "gateway/feature_switches.h"
 #include "gateway/gateway.h"
-#include "gateway/rule_switches.h"
 #include "instance/instance.h"
 #include "metrics/log.h"
 #include "operator/operator_func.h"
--- a/src/peer/packed_message.cpp
+++ b/src/peer/compressed_message.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file packed_message.cpp Long messages between instances, compressed. */
+/** @file compressed_message.cpp Long messages between instances, compressed. */
 
-#include "peer/packed_message.h"
+#include "peer/compressed_message.h"
 #include <zlib.h>
 
 namespace cottonspool {
--- a/src/peer/packed_message.h
+++ b/src/peer/compressed_message.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file packed_message.h Long messages between instances, compressed. */
+/** @file compressed_message.h Long messages between instances, compressed. */
 
 #pragma once
 
--- a/src/peer/peer_message.cpp
+++ b/src/peer/peer_message.cpp
@@ -3,7 +3,7 @@
 /** @file peer_message.cpp Messages between instances in CBOR: arrays whose first item tells the kind. */
 
 #include "peer/peer_message.h"
-#include "peer/packed_message.h"
+#include "peer/compressed_message.h"
 #include <limits>
 #include <nlohmann/json.hpp>
 #include <utility>
--- a/src/peer/peer_message.h
+++ b/src/peer/peer_message.h
@@ -8,7 +8,7 @@
 #include "decision/hall_load.h"
 #include "decision/membership.h"
 #include "decision/peer_directory.h"
-#include "decision/target_signs.h"
+#include "decision/target_signals.h"
 #include "store/table_store_base.h"
 #include <variant>
 
--- a/src/platform/wire_engine.h
+++ b/src/platform/wire_engine.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "decision/target_life.h"
+#include "decision/target_incarnation.h"
 #include "net/http_upstream.h"
 
 namespace cottonspool {
--- a/src/platform/wire_request.h
+++ b/src/platform/wire_request.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "core/error_type.h"
-#include "decision/target_signs.h"
+#include "decision/target_signals.h"
 #include "net/http_message.h"
 
 namespace cottonspool {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -3,7 +3,7 @@
 /** @file settings.cpp Reading settings from TOML, by toml++. */
 
 #include "settings/settings_type.h"
-#include "settings/toml_guard.h"
+#include "settings/toml_parser.h"
 #include <algorithm>
 #include <fstream>
 #include <sstream>
--- a/src/settings/toml_guard.cpp
+++ b/src/settings/toml_parser.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file toml_guard.cpp Keeps text away from toml++ that it cannot take. */
+/** @file toml_parser.cpp Keeps text away from toml++ that it cannot take. */
 
-#include "settings/toml_guard.h"
+#include "settings/toml_parser.h"
 #include <algorithm>
 #include <toml++/toml.h>
 
--- a/src/settings/toml_guard.h
+++ b/src/settings/toml_parser.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file toml_guard.h Keeps text away from toml++ that it cannot take. */
+/** @file toml_parser.h Keeps text away from toml++ that it cannot take. */
 
 #pragma once
 
--- a/src/tests/configuration_test.cpp
+++ b/src/tests/configuration_test.cpp
@@ -4,7 +4,7 @@
 
 #include "configuration/configuration_state.h"
 #include "fake_platform.h"
-#include "instance/configuration_keeper.h"
+#include "instance/configuration_manager.h"
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
--- a/src/tests/end_watch_test.cpp
+++ b/src/tests/crash_watch_test.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_watch_test.cpp Whether a target that broke a send off has ended. */
+/** @file crash_watch_test.cpp Whether a target that broke a send off has ended. */
 
-#include "gateway/end_watch.h"
+#include "gateway/crash_watch.h"
 #include <doctest/doctest.h>
 #include <optional>
 #include <uv.h>
--- a/src/tests/rule_switches_test.cpp
+++ b/src/tests/feature_switches_test.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file rule_switches_test.cpp Mechanisms that can be switched one by one. */
+/** @file feature_switches_test.cpp Mechanisms that can be switched one by one. */
 
-#include "gateway/rule_switches.h"
+#include "gateway/feature_switches.h"
 #include <doctest/doctest.h>
 #include <set>
 
--- a/src/tests/limit_world.h
+++ b/src/tests/limit_world.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "decision/target_limit.h"
+#include "decision/target_rate_limit.h"
 #include <functional>
 #include <map>
 #include <optional>
--- a/src/tests/hand_store.h
+++ b/src/tests/manual_store.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file hand_store.h A store whose answers a test gives by hand. */
+/** @file manual_store.h A store whose answers a test gives by hand. */
 
 #pragma once
 
--- a/src/tests/peer_exchange_test.cpp
+++ b/src/tests/peer_exchange_test.cpp
@@ -3,7 +3,7 @@
 /** @file peer_exchange_test.cpp How an instance gets to know the others at its start. */
 
 #include "gateway/peer_exchange.h"
-#include "tests/hand_store.h"
+#include "tests/manual_store.h"
 #include <doctest/doctest.h>
 #include <uv.h>
 
--- a/src/tests/peer_links_test.cpp
+++ b/src/tests/peer_links_test.cpp
@@ -2,7 +2,7 @@
 
 /** @file peer_links_test.cpp Links to other instances, on a loop of their own, and what goes over them. */
 
-#include "peer/packed_message.h"
+#include "peer/compressed_message.h"
 #include "peer/peer_links.h"
 #include <doctest/doctest.h>
 #include <uv.h>
--- a/src/tests/peer_load_test.cpp
+++ b/src/tests/peer_load_test.cpp
@@ -5,7 +5,7 @@
 #include "decision/backup_choice.h"
 #include "decision/peer_load.h"
 #include "decision/reader_order.h"
-#include "decision/target_life.h"
+#include "decision/target_incarnation.h"
 #include "peer/peer_message.h"
 #include <algorithm>
 #include <doctest/doctest.h>
--- a/src/tests/places_test.cpp
+++ b/src/tests/places_test.cpp
@@ -3,7 +3,7 @@
 /** @file places_test.cpp Emptied halls get nothing new, cold targets what they bear, and requests stay in their homes. */
 
 #include "decision/dispatcher.h"
-#include "decision/place_table.h"
+#include "decision/placement_table.h"
 #include <doctest/doctest.h>
 #include <pcg_random.hpp>
 #include <rapidcheck.h>
--- a/src/tests/quarantine_test.cpp
+++ b/src/tests/quarantine_test.cpp
@@ -3,9 +3,9 @@
 /** @file quarantine_test.cpp Requests under which targets end: what makes two of them the same one. */
 
 #include "decision/dispatcher.h"
-#include "decision/request_print.h"
-#include "gateway/end_records.h"
-#include "tests/hand_store.h"
+#include "decision/request_fingerprint.h"
+#include "gateway/crash_records.h"
+#include "tests/manual_store.h"
 #include "tests/quarantine_world.h"
 #include <doctest/doctest.h>
 #include <random>
--- a/src/tests/request_test.cpp
+++ b/src/tests/request_test.cpp
@@ -2,9 +2,9 @@
 
 /** @file request_test.cpp Callers' requests, targets' reports, metrics and steps: checked and bounded. */
 
+#include "instance/call_trace.h"
 #include "instance/completion_request.h"
-#include "instance/event_ring.h"
-#include "instance/target_watch.h"
+#include "instance/target_poller.h"
 #include "metrics/metrics.h"
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
--- a/src/tests/settings_test.cpp
+++ b/src/tests/settings_test.cpp
@@ -3,7 +3,7 @@
 /** @file settings_test.cpp Settings are checked, and their reference cannot drift. */
 
 #include "settings/settings_type.h"
-#include "settings/toml_guard.h"
+#include "settings/toml_parser.h"
 #include <doctest/doctest.h>
 #include <fstream>
 #include <rapidcheck.h>
--- a/src/tests/sharing_property_test.cpp
+++ b/src/tests/sharing_property_test.cpp
@@ -2,7 +2,7 @@
 
 /** @file sharing_property_test.cpp Whatever fails, a change of a table is known in time; and the store is not asked by hundreds. */
 
-#include "tests/sharing_world.h"
+#include "tests/sharing_simulation.h"
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
--- a/src/tests/sharing_world.cpp
+++ b/src/tests/sharing_simulation.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file sharing_world.cpp Hundreds of instances that share the reading of one table, in simulated time. */
+/** @file sharing_simulation.cpp Hundreds of instances that share the reading of one table, in simulated time. */
 
-#include "tests/sharing_world.h"
+#include "tests/sharing_simulation.h"
 #include "platform/node_settings.h"
 #include <algorithm>
 
--- a/src/tests/sharing_world.h
+++ b/src/tests/sharing_simulation.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file sharing_world.h Hundreds of instances that share the reading of one table, in simulated time and without a network. */
+/** @file sharing_simulation.h Hundreds of instances that share the reading of one table, in simulated time and without a network. */
 
 #pragma once
 
--- a/src/tests/store_era_test.cpp
+++ b/src/tests/store_epoch_test.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file store_era_test.cpp Following a table of a store that comes back from a copy and gives its versions out a second time. */
+/** @file store_epoch_test.cpp Following a table of a store that comes back from a copy and gives its versions out a second time. */
 
-#include "tests/hand_store.h"
+#include "tests/manual_store.h"
 #include <doctest/doctest.h>
 
 using namespace cottonspool;
--- a/src/tests/store_copy_test.cpp
+++ b/src/tests/store_restore_test.cpp
@@ -1,12 +1,12 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file store_copy_test.cpp What is true although a store that came back from a copy has forgotten it, or lists it again. */
+/** @file store_restore_test.cpp What is true although a store that came back from a copy has forgotten it, or lists it again. */
 
-#include "decision/place_table.h"
+#include "decision/placement_table.h"
 #include "decision/target_registry.h"
-#include "gateway/end_records.h"
+#include "gateway/crash_records.h"
 #include "gateway/peer_exchange.h"
-#include "tests/hand_store.h"
+#include "tests/manual_store.h"
 #include <doctest/doctest.h>
 #include <uv.h>
 
--- a/src/tests/suspension_test.cpp
+++ b/src/tests/suspension_test.cpp
@@ -5,12 +5,12 @@
 #include "decision/cold_start.h"
 #include "decision/dispatcher.h"
 #include "decision/lease.h"
+#include "decision/overload_tracker.h"
 #include "decision/peer_load.h"
-#include "decision/place_table.h"
+#include "decision/placement_table.h"
 #include "decision/quarantine.h"
-#include "decision/refusal_span.h"
 #include "decision/target_registry.h"
-#include "tests/hand_store.h"
+#include "tests/manual_store.h"
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
--- a/src/tests/table_sharing_test.cpp
+++ b/src/tests/table_sharing_test.cpp
@@ -4,7 +4,7 @@
 
 #include "core/hash_func.h"
 #include "store/table_sharing.h"
-#include "tests/hand_store.h"
+#include "tests/manual_store.h"
 #include <doctest/doctest.h>
 
 using namespace cottonspool;
--- a/src/tests/table_hand_over_test.cpp
+++ b/src/tests/table_snapshot_test.cpp
@@ -1,9 +1,9 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_hand_over_test.cpp Tables that an instance of a divided fleet takes from another one as it starts, over real links. */
+/** @file table_snapshot_test.cpp Tables that an instance of a divided fleet takes from another one as it starts, over real links. */
 
 #include "gateway/peer_exchange.h"
-#include "tests/hand_store.h"
+#include "tests/manual_store.h"
 #include <doctest/doctest.h>
 #include <uv.h>
 
--- a/src/tests/table_watch_test.cpp
+++ b/src/tests/table_watch_test.cpp
@@ -2,7 +2,7 @@
 
 /** @file table_watch_test.cpp Following a table of a store that fails in every way. */
 
-#include "tests/hand_store.h"
+#include "tests/manual_store.h"
 #include <doctest/doctest.h>
 
 using namespace cottonspool;
--- a/tests/fuzz/decoders.cpp
+++ b/tests/fuzz/decoders.cpp
@@ -4,11 +4,11 @@
 
 #include "decoders.h"
 #include "configuration/record_type.h"
-#include "gateway/end_records.h"
+#include "gateway/crash_records.h"
 #include "generation/event_splitter.h"
 #include "generation/sse_parser.h"
 #include "instance/completion_request.h"
-#include "instance/target_watch.h"
+#include "instance/target_poller.h"
 #include "net/http_message.h"
 #include "peer/peer_message.h"
 #include "platform/node_settings.h"
--- a/tests/standins/world_store.cpp
+++ b/tests/standins/simulated_store.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file world_store.cpp The platform's store in small. */
+/** @file simulated_store.cpp The platform's store in small. */
 
-#include "world_base.h"
+#include "simulation_base.h"
 #include <openssl/evp.h>
 
 namespace cottonspool {
--- a/tests/standins/world.cpp
+++ b/tests/standins/simulation.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file world.cpp Engines and services of the users' platform in small, and the control of the whole world. */
+/** @file simulation.cpp Engines and services of the users' platform in small, and the control of the whole world. */
 
-#include "world_base.h"
+#include "simulation_base.h"
 #include <gflags/gflags.h>
 #include <iostream>
 
--- a/tests/standins/world_base.h
+++ b/tests/standins/simulation_base.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file world_base.h The users' platform in small: a store with rows and a feed, engines that stream, move and leave, services. */
+/** @file simulation_base.h The users' platform in small: a store with rows and a feed, engines that stream, move and leave, services. */
 
 #pragma once
 
