--- a/bench/experiment.cpp
+++ b/bench/experiment.cpp
@@ -125,7 +125,7 @@
 	};
 	without("headroom", [](Contender &c) { c.rules.use_headroom = false; });
 	without("prefix", [](Contender &c) { c.rules.use_prefix = false; });
-	without("press", [](Contender &c) { c.rules.use_press = false; });
+	without("press", [](Contender &c) { c.rules.use_overcommit = false; });
 	without("shares", [](Contender &c) { c.limits.targets.use_shares = false; });
 	without("feedback", [](Contender &c) { c.limits.targets.use_growth_feedback = false; });
 	without("lengths", [](Contender &c) { c.limits.lengths.max_groups = 2; });
--- a/bench/experiment_world.cpp
+++ b/bench/experiment_world.cpp
@@ -206,7 +206,7 @@
 			call.sends++;
 			this->Push(this->now + WIRE_SECONDS, SimKind::Send, send.call.value, call.sends);
 		}
-		for (const GiveUpAction &give_up : decisions.give_ups) {
+		for (const RejectAction &give_up : decisions.rejections) {
 			this->calls[give_up.call.value].over = true;
 			this->figures.refused[static_cast<size_t>(give_up.reason)]++;
 		}
@@ -217,14 +217,14 @@
 		SimCall &call = this->calls[number];
 		if (call.sends != send) return;
 		SimEngine &engine = this->engines[call.engine];
-		if (engine.dead) return this->EndSend(number, SendEnd::NotRun);
+		if (engine.dead) return this->EndSend(number, SendOutcome::NotExecuted);
 		auto place = std::find_if(engine.waiting.begin(), engine.waiting.end(),
 		                          [&](size_t w) { return this->calls[w].priority < call.priority; });
 		engine.waiting.insert(place, number);
 		this->StartStep(call.engine);
 	}
 
-	void EndSend(size_t number, SendEnd end)
+	void EndSend(size_t number, SendOutcome end)
 	{
 		SimCall &call = this->calls[number];
 		this->Take(call.instance, this->instances[call.instance]->OnSendEnded(call.spec.id, end, this->Now()));
@@ -296,7 +296,7 @@
 			call.over = true;
 			this->CountServed(call);
 		}
-		for (size_t id : done) this->EndSend(id, SendEnd::Complete);
+		for (size_t id : done) this->EndSend(id, SendOutcome::Complete);
 		this->StartStep(number);
 	}
 
@@ -374,7 +374,7 @@
 				this->figures.lost++;
 				this->calls[id].over = true;
 			}
-			this->EndSend(id, shown ? SendEnd::LostAfterUse : SendEnd::Lost);
+			this->EndSend(id, shown ? SendOutcome::LostAfterDelivery : SendOutcome::Lost);
 		}
 	}
 
--- a/bench/experiment_world.h
+++ b/bench/experiment_world.h
@@ -69,7 +69,7 @@
 	std::vector<float> small_stalls;                                  ///< Stalls of interactive calls of all accounts but the largest.
 	std::vector<double> asked, served;                                ///< Tokens by account.
 	uint64_t calls = 0, preemptions = 0, lost = 0, useful_tokens = 0; ///< Counts.
-	std::array<uint64_t, GIVE_UP_REASON_COUNT> refused{};             ///< Refusals by reason.
+	std::array<uint64_t, REJECT_REASON_COUNT> refused{};              ///< Refusals by reason.
 };
 
 /** Run \a workload once with \a contender. The same seed gives the same calls to every contender. */
--- a/bench/overhead.cpp
+++ b/bench/overhead.cpp
@@ -82,7 +82,7 @@
 			stream->last = now;
 		}
 	};
-	call.on_end = [stream, &figures](const HttpEnd &) {
+	call.on_end = [stream, &figures](const HttpCallResult &) {
 		figures.open--;
 		if (stream->tokens != FLAGS_tokens) figures.failed++;
 	};
--- a/bench/slopes_main.cpp
+++ b/bench/slopes_main.cpp
@@ -109,18 +109,18 @@
 	TimePoint now(std::chrono::seconds(100));
 	auto count = static_cast<uint64_t>(bench.range(0));
 	for (uint64_t i = 1; i < count; i++) {
-		members.OnHeard(
+		members.OnMemberInfo(
 		        {"instance" + std::to_string(i), "hall" + std::to_string(i % 9), "10.0.0.1:8081", 1700000000000 + i, 1000000, 100000}, now);
 	}
-	size_t links = members.LinkTargets(now).size();
+	size_t links = members.GossipPeers(now).size();
 	size_t bytes = 0;
 	for (auto _ : bench) {
-		HeartbeatMessage message{members.NextNews(6), {}, milliseconds(100), {}};
+		HeartbeatMessage message{members.NextGossip(6), {}, milliseconds(100), {}};
 		for (size_t i = 0; i < links; i++) message.echoes.emplace_back("instance100", 1000000);
 		std::string encoded = EncodePeerMessage(message);
 		bytes = encoded.size();
 		auto decoded = DecodePeerMessage(encoded);
-		for (const MemberInfo &member : std::get<HeartbeatMessage>(decoded.value()).members) members.OnHeard(member, now);
+		for (const MemberInfo &member : std::get<HeartbeatMessage>(decoded.value()).members) members.OnMemberInfo(member, now);
 	}
 	bench.counters["message_bytes"] = static_cast<double>(bytes);
 	bench.counters["links"] = static_cast<double>(links);
@@ -134,12 +134,12 @@
 	TimePoint now(std::chrono::seconds(100));
 	size_t before = AllocatedBytes();
 	for (int64_t i = 1; i < bench.range(0); i++) {
-		members.OnHeard({"instance" + std::to_string(i), "hall" + std::to_string(i % 9), "10.0.0.1:8081", 1, 1}, now);
+		members.OnMemberInfo({"instance" + std::to_string(i), "hall" + std::to_string(i % 9), "10.0.0.1:8081", 1, 1}, now);
 	}
 	bench.counters["bytes"] = static_cast<double>(AllocatedBytes() - before);
 	for (auto _ : bench) {
 		benchmark::DoNotOptimize(members.Rank(now));
-		benchmark::DoNotOptimize(members.LinkTargets(now));
+		benchmark::DoNotOptimize(members.GossipPeers(now));
 	}
 }
 BENCHMARK(MemberUpkeep)->Arg(8)->Arg(41)->Arg(370)->Unit(benchmark::kMicrosecond);
@@ -210,7 +210,7 @@
 		CallSpec call = MakeCall(id++, now);
 		Decisions decisions = dispatcher->Submit(call, now);
 		dispatcher->OnToken(call.id, now);
-		benchmark::DoNotOptimize(dispatcher->OnSendEnded(call.id, SendEnd::Complete, now));
+		benchmark::DoNotOptimize(dispatcher->OnSendEnded(call.id, SendOutcome::Complete, now));
 		now += milliseconds(1);
 	}
 }
@@ -256,7 +256,7 @@
 		           "\"}],\"id\":\"g\",\"object\":\"text_completion\"}\n\n");
 		auto event = parser.Next();
 		benchmark::DoNotOptimize(ledger.Accept("g", *event->id));
-		benchmark::DoNotOptimize(ParsePiece(event->data));
+		benchmark::DoNotOptimize(ParseCompletionChunk(event->data));
 		dispatcher->OnToken(call.id, now);
 		metrics.Observe(Measure::TokenIntervalSeconds, "account", ServiceClass::Stream, 0.02);
 	}
--- a/src/configuration/configuration_state.cpp
+++ b/src/configuration/configuration_state.cpp
@@ -24,14 +24,14 @@
 	if (entry.sequence != this->sequence + 1) return false;
 	this->sequence = entry.sequence;
 	for (const RecordChange &record : entry.change.records) this->ApplyRecord(record, entry.sequence);
-	this->Remember({entry.change.id, entry.change.author, entry.sequence});
+	this->RecordAccepted({entry.change.id, entry.change.author, entry.sequence});
 	return true;
 }
 
-void ConfigurationState::Remember(AcceptedChange change)
+void ConfigurationState::RecordAccepted(AcceptedChange change)
 {
 	this->accepted.push_back(std::move(change));
-	if (this->accepted.size() > MAX_REMEMBERED) this->accepted.pop_front();
+	if (this->accepted.size() > MAX_ACCEPTED_CHANGES) this->accepted.pop_front();
 }
 
 void ConfigurationState::SetAccount(const std::string &name, const AccountRecord &account, uint64_t at)
@@ -110,9 +110,9 @@
 	Json remembered = Json::array();
 	for (const AcceptedChange &change : this->accepted) remembered.push_back({change.id, change.author, change.sequence});
 	document["accepted"] = std::move(remembered);
-	Json gone = Json::array();
-	for (const auto &[key, at] : this->removed) gone.push_back({static_cast<int>(key.first), key.second, at});
-	document["removed"] = std::move(gone);
+	Json removed_records = Json::array();
+	for (const auto &[key, at] : this->removed) removed_records.push_back({static_cast<int>(key.first), key.second, at});
+	document["removed"] = std::move(removed_records);
 	return document.dump();
 }
 
@@ -131,7 +131,7 @@
 				loaded.ApplyRecord({kind, item.at(0), false, item.at(2)}, item.at(1).get<uint64_t>());
 			}
 		}
-		for (const Json &item : document.at("accepted")) loaded.Remember({item.at(0), item.at(1), item.at(2)});
+		for (const Json &item : document.at("accepted")) loaded.RecordAccepted({item.at(0), item.at(1), item.at(2)});
 		for (const Json &item : document.at("removed"))
 			loaded.removed[{static_cast<RecordKind>(item.at(0).get<int>()), item.at(1)}] = item.at(2);
 	} catch (const Json::exception &error) {
@@ -166,8 +166,8 @@
 		changed = in(this->policies);
 		break;
 	}
-	auto gone = this->removed.find({kind, name});
-	return gone == this->removed.end() ? changed : std::max(changed, gone->second);
+	auto removed_records = this->removed.find({kind, name});
+	return removed_records == this->removed.end() ? changed : std::max(changed, removed_records->second);
 }
 
 std::optional<AcceptedChange> ConfigurationState::FindConflict(const Change &change) const
--- a/src/configuration/configuration_state.h
+++ b/src/configuration/configuration_state.h
@@ -68,12 +68,12 @@
 	void ApplyRecord(const RecordChange &record, uint64_t at);
 	void SetAccount(const std::string &name, const AccountRecord &account, uint64_t at);
 	void RemoveAccount(const std::string &name);
-	void Remember(AcceptedChange accepted);
+	void RecordAccepted(AcceptedChange accepted);
 	uint64_t ChangedAt(RecordKind kind, const std::string &name) const;
 	Result<void> ValidateRecord(const RecordChange &record, const Change &change, const PolicyCheck &check_policy) const;
 	Result<void> ValidateTarget(const RecordChange &record, const Change &change) const;
 
-	static constexpr size_t MAX_REMEMBERED = 4096; ///< Accepted changes remembered.
+	static constexpr size_t MAX_ACCEPTED_CHANGES = 4096; ///< Accepted changes remembered.
 
 	uint64_t sequence = 0;                                                                                  ///< Last entry in force.
 	std::unordered_map<std::string, Versioned<AccountRecord>> accounts;                                     ///< Accounts by name.
--- a/src/configuration/record.cpp
+++ b/src/configuration/record.cpp
@@ -117,22 +117,22 @@
 	        object, ParseObject(name, content, {"kind", "address", "hall", "serves", "wish", "checks_fences", "reports", "slots", "role"}));
 	TargetRecord target;
 	std::string kind = "engine";
-	std::string wish = "live";
+	std::string desired_state = "live";
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "kind", &kind));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "address", &target.address));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "hall", &target.hall));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "serves", &target.serves));
-	BOOST_OUTCOME_TRYV(ReadField(object, name, "wish", &wish));
+	BOOST_OUTCOME_TRYV(ReadField(object, name, "wish", &desired_state));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "checks_fences", &target.checks_fences));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "reports", &target.reports));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "slots", &target.slots));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "role", &target.role));
 	if (kind != "engine" && kind != "service") return RecordError(name + ".kind", "must be engine or service");
-	if (wish != "live" && wish != "leaving") return RecordError(name + ".wish", "must be live or leaving");
+	if (desired_state != "live" && desired_state != "leaving") return RecordError(name + ".wish", "must be live or leaving");
 	if (target.address.find(':') == std::string::npos) return RecordError(name + ".address", "must be IP:PORT");
 	if (target.hall.empty()) return RecordError(name + ".hall", "is required");
 	target.kind = kind == "engine" ? TargetKind::Engine : TargetKind::Service;
-	target.wish = wish == "live" ? TargetWish::Live : TargetWish::Leaving;
+	target.desired_state = desired_state == "live" ? DesiredState::Live : DesiredState::Leaving;
 	return target;
 }
 
@@ -194,7 +194,7 @@
 	            {"address", target.address},
 	            {"hall", target.hall},
 	            {"serves", target.serves},
-	            {"wish", target.wish == TargetWish::Live ? "live" : "leaving"},
+	            {"wish", target.desired_state == DesiredState::Live ? "live" : "leaving"},
 	            {"checks_fences", target.checks_fences},
 	            {"reports", target.reports},
 	            {"slots", target.slots}};
--- a/src/configuration/record_type.h
+++ b/src/configuration/record_type.h
@@ -32,19 +32,19 @@
 enum class TargetKind : uint8_t { Engine, Service };
 
 /** What the operators want of a target. */
-enum class TargetWish : uint8_t { Live, Leaving };
+enum class DesiredState : uint8_t { Live, Leaving };
 
 /** A target. */
 struct TargetRecord {
-	TargetKind kind = TargetKind::Engine; ///< Kind.
-	std::string address;                  ///< IP:PORT.
-	std::string hall;                     ///< Data hall it stands in.
-	std::vector<std::string> serves;      ///< Models of an engine, or the names of a service.
-	TargetWish wish = TargetWish::Live;   ///< Whether it is to get new work.
-	bool checks_fences = true;            ///< It refuses orders with an old fence.
-	bool reports = true;                  ///< It answers GET /load.
-	uint32_t slots = 64;                  ///< Calls at once, for a service without reports.
-	std::string role;                     ///< Role wanted of it; empty means as it is.
+	TargetKind kind = TargetKind::Engine;            ///< Kind.
+	std::string address;                             ///< IP:PORT.
+	std::string hall;                                ///< Data hall it stands in.
+	std::vector<std::string> serves;                 ///< Models of an engine, or the names of a service.
+	DesiredState desired_state = DesiredState::Live; ///< Whether it is to get new work.
+	bool checks_fences = true;                       ///< It refuses orders with an old fence.
+	bool reports = true;                             ///< It answers GET /load.
+	uint32_t slots = 64;                             ///< Calls at once, for a service without reports.
+	std::string role;                                ///< Role wanted of it; empty means as it is.
 };
 
 /** Shares of traffic between data halls for one account, one model, or all ("*"). */
--- a/src/core/store_version_type.h
+++ b/src/core/store_version_type.h
@@ -16,7 +16,7 @@
  * 2.6 s after it was acknowledged, where 2 s are allowed (a recorded day).
  */
 struct StoreVersion {
-	uint64_t era = 0;    ///< Which life of the store gave it out; 0 for a store that does not tell.
+	uint64_t epoch = 0;  ///< Which life of the store gave it out; 0 for a store that does not tell.
 	uint64_t number = 0; ///< Counter of all writes of that life.
 
 	auto operator<=>(const StoreVersion &) const = default;
@@ -28,7 +28,7 @@
 /** @return \a version for logs. */
 inline std::string FormatVersion(const StoreVersion &version)
 {
-	return std::to_string(version.era) + ':' + std::to_string(version.number);
+	return std::to_string(version.epoch) + ':' + std::to_string(version.number);
 }
 
 } // namespace cottonspool
--- a/src/decision/arrival_counter.h
+++ b/src/decision/arrival_counter.h
@@ -12,20 +12,20 @@
 namespace cottonspool {
 
 /** Counts the calls for each pool over about the span in which a target that names a limit counts what it gets. */
-class CallMeter {
+class ArrivalCounter {
 public:
 	/** A call for \a pool has come. */
 	void OnCall(const std::string &pool, TimePoint now) { this->At(pool, now).present++; }
 
 	/** @return Calls for \a pool in the last two to four seconds. */
-	uint32_t Lately(const std::string &pool, TimePoint now)
+	uint32_t Recent(const std::string &pool, TimePoint now)
 	{
 		const Count &count = this->At(pool, now);
 		return count.present + count.before;
 	}
 
 private:
-	static constexpr Duration HALF = std::chrono::milliseconds(2100); ///< Half of the span that is counted.
+	static constexpr Duration HALF_WINDOW = std::chrono::milliseconds(2100); ///< Half of the span that is counted.
 
 	/** Calls for one pool. */
 	struct Count {
@@ -38,8 +38,8 @@
 	{
 		Count &count = this->pools[pool];
 		Duration passed = now - count.since;
-		if (passed < HALF) return count;
-		count = {0, passed < 2 * HALF ? count.present : 0, now};
+		if (passed < HALF_WINDOW) return count;
+		count = {0, passed < 2 * HALF_WINDOW ? count.present : 0, now};
 		return count;
 	}
 
--- a/src/decision/backup_choice.cpp
+++ b/src/decision/backup_choice.cpp
@@ -6,24 +6,24 @@
 
 namespace cottonspool {
 
-static constexpr double TOKEN_SECONDS = 0.01; ///< Time a token takes where nothing is measured yet.
+static constexpr double DEFAULT_TOKEN_INTERVAL = 0.01; ///< Time a token takes where nothing is measured yet.
 
 std::optional<TargetNumber> ChooseBackup(const CallSpec &call, TargetNumber holder, const TargetTable &targets, const BackupRules &rules,
                                          TimePoint now)
 {
 	if (!rules.use || !call.generated) return std::nullopt;
 	const TargetState &source = targets.Get(holder);
-	double rest = targets.ExpectedRest(call);
-	double interval = source.interval > 0 ? source.interval : TOKEN_SECONDS;
-	if (FromSeconds(rest * interval) < rules.least_rest) return std::nullopt;
+	double rest = targets.ExpectedOutput(call);
+	double interval = source.interval > 0 ? source.interval : DEFAULT_TOKEN_INTERVAL;
+	if (FromSeconds(rest * interval) < rules.min_remaining) return std::nullopt;
 	std::optional<TargetNumber> best;
 	double best_score = 0;
 	for (TargetNumber number : targets.ForModel(call.model)) {
 		const TargetState &target = targets.Get(number);
-		if (number == holder || !targets.MayGet(target, call, now) || target.report.capacity_tokens == 0) continue;
+		if (number == holder || !targets.IsEligible(target, call, now) || target.report.capacity_tokens == 0) continue;
 		double copy = (call.prompt_tokens + rest) / static_cast<double>(target.report.capacity_tokens);
 		double pressure = targets.Pressure(target, now) + copy;
-		if (pressure > rules.most_pressure) continue;
+		if (pressure > rules.max_pressure) continue;
 		// A hall may be cut off as a whole: the copy is safer in another one, best in the caller's own.
 		double score = pressure + (target.hall == source.hall ? rules.same_hall_penalty : 0);
 		if (!call.halls.empty() && target.hall == call.halls.front().hall) score -= rules.same_hall_penalty / 2;
--- a/src/decision/backup_choice.h
+++ b/src/decision/backup_choice.h
@@ -11,9 +11,9 @@
 /** Rules of that choice. */
 struct BackupRules {
 	bool use = false;                ///< Keep copies at all; see docs/design/decisions.md for why not.
-	double most_pressure = 0.62;     ///< Memory planned to be filled at an engine, with the copy, up to which it takes one.
+	double max_pressure = 0.62;      ///< Memory planned to be filled at an engine, with the copy, up to which it takes one.
 	double same_hall_penalty = 0.25; ///< Pressure that an engine in another hall than the run's may be worse by.
-	Duration least_rest = std::chrono::milliseconds(1000); ///< Runs expected to end sooner are not worth a copy.
+	Duration min_remaining = std::chrono::milliseconds(1000); ///< Runs expected to end sooner are not worth a copy.
 };
 
 /**
--- a/src/decision/byte_budget.h
+++ b/src/decision/byte_budget.h
@@ -21,18 +21,18 @@
 	/** @return Whether \a bytes may be sent now; they are taken off then. */
 	[[nodiscard]] bool Take(double bytes, TimePoint now)
 	{
-		this->left = std::min(this->most, this->left + this->per_second * Seconds(now - this->looked_at));
-		this->looked_at = now;
+		this->left = std::min(this->most, this->left + this->per_second * Seconds(now - this->refilled_at));
+		this->refilled_at = now;
 		if (bytes > this->left) return false;
 		this->left -= bytes;
 		return true;
 	}
 
 private:
-	double per_second;   ///< Bytes a second.
-	double most;         ///< Most that are saved up.
-	double left = 0;     ///< What may be sent.
-	TimePoint looked_at; ///< When that was last worked out.
+	double per_second;     ///< Bytes a second.
+	double most;           ///< Most that are saved up.
+	double left = 0;       ///< What may be sent.
+	TimePoint refilled_at; ///< When that was last worked out.
 };
 
 } // namespace cottonspool
--- a/src/decision/call_queue.cpp
+++ b/src/decision/call_queue.cpp
@@ -10,7 +10,7 @@
 bool CallQueue::Push(const CallSpec &call, double tokens)
 {
 	if (this->index.size() >= this->limits.max_calls) return false;
-	ClassLines &lines = this->classes[static_cast<size_t>(call.service_class)];
+	ClassFlows &lines = this->classes[static_cast<size_t>(call.service_class)];
 	auto line = lines.lines.find(KeyOf(this->limits, call));
 	if (line != lines.lines.end() && line->second.calls.size() >= this->limits.max_calls_per_account) return false;
 	this->Insert(call, tokens, false);
@@ -24,10 +24,10 @@
 
 void CallQueue::Insert(const CallSpec &call, double tokens, bool front)
 {
-	ClassLines &lines = this->classes[static_cast<size_t>(call.service_class)];
-	LineKey key = KeyOf(this->limits, call);
-	Line &line = lines.lines[key];
-	ModelLines &model = lines.models[call.model.value];
+	ClassFlows &lines = this->classes[static_cast<size_t>(call.service_class)];
+	FlowKey key = KeyOf(this->limits, call);
+	Flow &line = lines.lines[key];
+	ModelFlows &model = lines.models[call.model.value];
 	if (line.calls.empty()) {
 		line.tag = std::max(line.tag, lines.clock);
 		model.order.emplace(line.tag, key);
@@ -43,7 +43,7 @@
 	this->deadlines.emplace(call.deadline, call.id);
 }
 
-void CallQueue::Unlink(ClassLines &lines, LineKey key)
+void CallQueue::Unlink(ClassFlows &lines, FlowKey key)
 {
 	auto &order = lines.models[ModelOf(key)].order;
 	auto [first, last] = order.equal_range(lines.lines[key].tag);
@@ -54,12 +54,12 @@
 	}
 }
 
-void CallQueue::TakeHead(ClassLines &lines, LineKey key, bool charge)
+void CallQueue::PopHead(ClassFlows &lines, FlowKey key, bool charge)
 {
-	Line &line = lines.lines[key];
+	Flow &line = lines.lines[key];
 	Waiting head = line.calls.front();
 	this->Unlink(lines, key);
-	ModelLines &model = lines.models[ModelOf(key)];
+	ModelFlows &model = lines.models[ModelOf(key)];
 	line.calls.pop_front();
 	line.tokens -= head.tokens;
 	model.tokens -= head.tokens;
@@ -77,19 +77,19 @@
 		this->deadlines.erase(it);
 		break;
 	}
-	if (line.calls.empty() && lines.lines.size() > MAX_IDLE_LINES) lines.lines.erase(key);
+	if (line.calls.empty() && lines.lines.size() > MAX_IDLE_FLOWS) lines.lines.erase(key);
 }
 
 bool CallQueue::Remove(CallId call)
 {
 	auto found = this->index.find(call);
 	if (found == this->index.end()) return false;
-	ClassLines &lines = this->classes[static_cast<size_t>(found->second.first)];
-	LineKey key = found->second.second;
-	Line &line = lines.lines[key];
+	ClassFlows &lines = this->classes[static_cast<size_t>(found->second.first)];
+	FlowKey key = found->second.second;
+	Flow &line = lines.lines[key];
 	auto waiting = std::find_if(line.calls.begin(), line.calls.end(), [&](const Waiting &w) { return w.call.id == call; });
 	std::rotate(line.calls.begin(), waiting, waiting + 1);
-	this->TakeHead(lines, key, false);
+	this->PopHead(lines, key, false);
 	return true;
 }
 
@@ -99,7 +99,7 @@
 	while (!this->deadlines.empty() && this->deadlines.begin()->first <= now) {
 		CallId call = this->deadlines.begin()->second;
 		auto [service_class, key] = this->index.at(call);
-		const Line &line = this->classes[static_cast<size_t>(service_class)].lines[key];
+		const Flow &line = this->classes[static_cast<size_t>(service_class)].lines[key];
 		auto waiting = std::find_if(line.calls.begin(), line.calls.end(), [&](const Waiting &w) { return w.call.id == call; });
 		expired.push_back(waiting->call);
 		this->Remove(call);
@@ -115,7 +115,7 @@
 		auto model = this->classes[i].models.find(call.model.value);
 		if (model != this->classes[i].models.end()) ahead += model->second.tokens;
 	}
-	const ClassLines &lines = this->classes[own_class];
+	const ClassFlows &lines = this->classes[own_class];
 	auto model = lines.models.find(call.model.value);
 	if (model == lines.models.end()) return ahead;
 	if (!this->limits.fair) return ahead + model->second.tokens;
@@ -127,8 +127,8 @@
 
 void CallQueue::Correct(const CallSpec &call, double tokens)
 {
-	ClassLines &lines = this->classes[static_cast<size_t>(call.service_class)];
-	LineKey key = KeyOf(this->limits, call);
+	ClassFlows &lines = this->classes[static_cast<size_t>(call.service_class)];
+	FlowKey key = KeyOf(this->limits, call);
 	auto found = lines.lines.find(key);
 	if (found == lines.lines.end()) return;
 	bool linked = !found->second.calls.empty();
--- a/src/decision/call_queue.h
+++ b/src/decision/call_queue.h
@@ -63,51 +63,51 @@
 	};
 
 	/** Names the line of an account's calls for a model. */
-	using LineKey = uint64_t;
+	using FlowKey = uint64_t;
 
 	/** The line of one account's calls for one model in one class. */
-	struct Line {
+	struct Flow {
 		std::deque<Waiting> calls; ///< In order.
 		double tag = 0;            ///< Virtual start time: tokens charged over weight.
 		double tokens = 0;         ///< Expected cost of all calls in the line.
 	};
 
 	/** The lines of one model in one class. */
-	struct ModelLines {
-		std::multimap<double, LineKey> order; ///< Lines with waiting calls by tag.
+	struct ModelFlows {
+		std::multimap<double, FlowKey> order; ///< Lines with waiting calls by tag.
 		double tokens = 0;                    ///< Expected cost of all waiting calls.
 	};
 
 	/** All lines of one class. */
-	struct ClassLines {
-		std::unordered_map<LineKey, Line> lines; ///< By model and account.
-		std::map<uint32_t, ModelLines> models;   ///< By model.
+	struct ClassFlows {
+		std::unordered_map<FlowKey, Flow> lines; ///< By model and account.
+		std::map<uint32_t, ModelFlows> models;   ///< By model.
 		double clock = 0;                        ///< Virtual time: tag of the last line served.
 		size_t calls = 0;                        ///< Waiting calls.
 	};
 
-	static LineKey KeyOf(const QueueLimits &limits, const CallSpec &call)
+	static FlowKey KeyOf(const QueueLimits &limits, const CallSpec &call)
 	{
-		return static_cast<LineKey>(call.model.value) << 32 | (limits.fair ? call.account.value : 0);
+		return static_cast<FlowKey>(call.model.value) << 32 | (limits.fair ? call.account.value : 0);
 	}
-	static uint32_t ModelOf(LineKey key) { return static_cast<uint32_t>(key >> 32); }
+	static uint32_t ModelOf(FlowKey key) { return static_cast<uint32_t>(key >> 32); }
 	void Insert(const CallSpec &call, double tokens, bool front);
-	void Unlink(ClassLines &lines, LineKey key);
-	void TakeHead(ClassLines &lines, LineKey key, bool charge);
-	static constexpr size_t MAX_IDLE_LINES = 4096; ///< Empty lines kept for their tags.
+	void Unlink(ClassFlows &lines, FlowKey key);
+	void PopHead(ClassFlows &lines, FlowKey key, bool charge);
+	static constexpr size_t MAX_IDLE_FLOWS = 4096; ///< Empty lines kept for their tags.
 
 	QueueLimits limits;                                                               ///< Bounds.
-	std::array<ClassLines, SERVICE_CLASS_COUNT> classes;                              ///< By class.
-	std::unordered_map<CallId, std::pair<ServiceClass, LineKey>, StrongIdHash> index; ///< Where each call waits.
+	std::array<ClassFlows, SERVICE_CLASS_COUNT> classes;                              ///< By class.
+	std::unordered_map<CallId, std::pair<ServiceClass, FlowKey>, StrongIdHash> index; ///< Where each call waits.
 	std::multimap<TimePoint, CallId> deadlines;                                       ///< Calls by deadline.
 };
 
 template <typename Visit> size_t CallQueue::ForEachHead(size_t limit, Visit visit)
 {
 	size_t taken = 0;
-	for (ClassLines &lines : this->classes) {
+	for (ClassFlows &lines : this->classes) {
 		// Lines of each model by themselves: those that wait for a model without room do not use up the others' tries.
-		std::vector<std::pair<double, LineKey>> heads;
+		std::vector<std::pair<double, FlowKey>> heads;
 		for (const auto &[model, own] : lines.models) {
 			size_t tried = 0;
 			for (auto it = own.order.begin(); it != own.order.end() && tried < limit; ++it, tried++) heads.push_back(*it);
@@ -115,7 +115,7 @@
 		std::sort(heads.begin(), heads.end());
 		for (const auto &[tag, key] : heads) {
 			if (!visit(lines.lines[key].calls.front().call)) continue;
-			this->TakeHead(lines, key, true);
+			this->PopHead(lines, key, true);
 			taken++;
 		}
 	}
--- a/src/decision/cell_division.cpp
+++ b/src/decision/cell_division.cpp
@@ -10,20 +10,20 @@
 
 namespace cottonspool {
 
-/** @return The number of cells for a fleet whose largest hall has \a in_hall instances. */
-static uint32_t CellsFor(size_t in_hall)
+/** @return The number of cells for a fleet whose largest hall has \a largest_hall instances. */
+static uint32_t CellCountFor(size_t largest_hall)
 {
-	if (in_hall <= CellDivision::UNDIVIDED_MOST) return 1;
-	uint32_t cells = CellDivision::FIRST_DIVISION;
-	while (in_hall > CellDivision::CELL_MOST * cells) cells *= 2;
+	if (largest_hall <= CellDivision::MAX_UNDIVIDED_INSTANCES) return 1;
+	uint32_t cells = CellDivision::MIN_DIVIDED_CELLS;
+	while (largest_hall > CellDivision::MAX_CELL_INSTANCES * cells) cells *= 2;
 	return cells;
 }
 
-/** @return Whether \a cells may stay as they are with \a in_hall instances in the largest hall. */
-static bool MayKeep(uint32_t cells, size_t in_hall)
+/** @return Whether \a cells may stay as they are with \a largest_hall instances in the largest hall. */
+static bool CanKeepCells(uint32_t cells, size_t largest_hall)
 {
-	if (cells == 1) return in_hall <= CellDivision::UNDIVIDED_MOST;
-	return in_hall <= CellDivision::CELL_MOST * cells && in_hall >= CellDivision::CELL_LEAST * cells;
+	if (cells == 1) return largest_hall <= CellDivision::MAX_UNDIVIDED_INSTANCES;
+	return largest_hall <= CellDivision::MAX_CELL_INSTANCES * cells && largest_hall >= CellDivision::MIN_CELL_INSTANCES * cells;
 }
 
 CellDivision::CellDivision(std::string_view own_name) : own_hash(HashText(own_name))
@@ -37,34 +37,35 @@
 	return changed;
 }
 
-bool CellDivision::OnList(size_t now_in_hall, StoreVersion version, bool growing)
+bool CellDivision::OnInstanceList(size_t new_largest_hall, StoreVersion version, bool bootstrapping)
 {
 	bool first = !this->list.IsKnown();
-	this->in_hall = now_in_hall;
+	this->largest_hall = new_largest_hall;
 	this->list = version;
-	this->is_growing = growing;
-	uint32_t cells = CellsFor(now_in_hall);
-	if (growing) return this->count.decided < version && this->Decide({cells, version});
+	this->is_bootstrapping = bootstrapping;
+	uint32_t cells = CellCountFor(new_largest_hall);
+	if (bootstrapping) return this->count.decided_at < version && this->Decide({cells, version});
 	// Who reads the list at its start does not know yet whether the others keep to another number, which may stay.
-	if (first && !this->count.decided.IsKnown()) return this->Decide({cells, {}});
-	return !MayKeep(this->count.cells, now_in_hall) && this->Decide({cells, version});
+	if (first && !this->count.decided_at.IsKnown()) return this->Decide({cells, {}});
+	return !CanKeepCells(this->count.cells, new_largest_hall) && this->Decide({cells, version});
 }
 
-bool CellDivision::OnChanges(size_t now_in_hall, StoreVersion version)
+bool CellDivision::OnInstanceChanges(size_t new_largest_hall, StoreVersion version)
 {
-	this->in_hall = now_in_hall;
+	this->largest_hall = new_largest_hall;
 	// A list with gaps may lack some, so it never tells that there are too few.
-	bool too_many = now_in_hall > this->count.cells * CELL_MOST && !MayKeep(this->count.cells, now_in_hall);
-	return too_many && this->count.decided < version && this->Decide({CellsFor(now_in_hall), version});
+	bool too_many = new_largest_hall > this->count.cells * MAX_CELL_INSTANCES && !CanKeepCells(this->count.cells, new_largest_hall);
+	return too_many && this->count.decided_at < version && this->Decide({CellCountFor(new_largest_hall), version});
 }
 
-bool CellDivision::OnTold(CellCount told)
+bool CellDivision::OnPeerCellCount(CellCount peer_cells)
 {
-	if (!std::has_single_bit(told.cells) || told == this->count) return false;
-	if (told.decided == this->count.decided) return told.cells > this->count.cells && this->Decide(told);
-	if (told.decided < this->count.decided) return false;
-	bool knows_better = this->list.IsKnown() && !this->is_growing && told.decided < this->list && !MayKeep(told.cells, this->in_hall);
-	return this->Decide(knows_better ? CellCount{CellsFor(this->in_hall), this->list} : told);
+	if (!std::has_single_bit(peer_cells.cells) || peer_cells == this->count) return false;
+	if (peer_cells.decided_at == this->count.decided_at) return peer_cells.cells > this->count.cells && this->Decide(peer_cells);
+	if (peer_cells.decided_at < this->count.decided_at) return false;
+	bool has_newer_list = this->list.IsKnown() && !this->is_bootstrapping && peer_cells.decided_at < this->list &&
+	                      !CanKeepCells(peer_cells.cells, this->largest_hall);
+	return this->Decide(has_newer_list ? CellCount{CellCountFor(this->largest_hall), this->list} : peer_cells);
 }
 
 bool CellDivision::IsOwn(std::string_view instance) const
@@ -78,43 +79,43 @@
 
 void TargetDivision::Divide(const std::vector<TargetRow> &all, uint32_t cells)
 {
-	this->parts.clear();
+	this->shards.clear();
 	if (cells <= 1) return;
 	std::map<std::pair<std::string, std::string>, size_t> numbers;
 	for (const TargetRow &row : all) {
 		if (row.target) numbers[{row.target->pool, row.target->hall}]++;
 	}
 	for (const auto &[place, number] : numbers) {
-		uint32_t parts = 1;
-		while (2 * parts <= cells && number >= KEPT_LEAST * 2 * parts) parts *= 2;
-		if (parts > 1) this->parts.push_back({place.first, place.second, parts});
+		uint32_t shards = 1;
+		while (2 * shards <= cells && number >= MIN_TARGETS_PER_CELL * 2 * shards) shards *= 2;
+		if (shards > 1) this->shards.push_back({place.first, place.second, shards});
 	}
 }
 
-bool TargetDivision::Set(std::vector<PoolParts> divided)
+bool TargetDivision::Set(std::vector<PoolShards> divided)
 {
 	// Hashes are compared by their last bits: only powers of two divide without moving others.
-	std::erase_if(divided, [](const PoolParts &each) { return !std::has_single_bit(each.parts); });
-	if (divided == this->parts) return false;
-	this->parts = std::move(divided);
+	std::erase_if(divided, [](const PoolShards &each) { return !std::has_single_bit(each.shards); });
+	if (divided == this->shards) return false;
+	this->shards = std::move(divided);
 	return true;
 }
 
-uint32_t TargetDivision::PartsOf(std::string_view pool, std::string_view hall) const
+uint32_t TargetDivision::ShardsOf(std::string_view pool, std::string_view hall) const
 {
-	auto found = std::find_if(this->parts.begin(), this->parts.end(),
-	                          [&](const PoolParts &each) { return each.pool == pool && each.hall == hall; });
-	return found == this->parts.end() ? 1 : found->parts;
+	auto found = std::find_if(this->shards.begin(), this->shards.end(),
+	                          [&](const PoolShards &each) { return each.pool == pool && each.hall == hall; });
+	return found == this->shards.end() ? 1 : found->shards;
 }
 
 bool TargetDivision::IsOwn(const ListedTarget &target) const
 {
-	return (HashText(target.life.id) ^ this->own_hash) % this->PartsOf(target.pool, target.hall) == 0;
+	return (HashText(target.incarnation.id) ^ this->own_hash) % this->ShardsOf(target.pool, target.hall) == 0;
 }
 
 double TargetDivision::ShareOf(std::string_view pool, std::string_view hall, uint32_t cells) const
 {
-	return std::min(1.0, static_cast<double>(this->PartsOf(pool, hall)) / std::max(1U, cells));
+	return std::min(1.0, static_cast<double>(this->ShardsOf(pool, hall)) / std::max(1U, cells));
 }
 
 } // namespace cottonspool
--- a/src/decision/cell_division.h
+++ b/src/decision/cell_division.h
@@ -16,8 +16,8 @@
 
 /** Into how many cells a fleet is divided, and since when. */
 struct CellCount {
-	uint32_t cells = 1;   ///< Number of cells, a power of two.
-	StoreVersion decided; ///< Version of the list of instances from which it was decided; unknown for one that each works out by itself.
+	uint32_t cells = 1;      ///< Number of cells, a power of two.
+	StoreVersion decided_at; ///< Version of the list of instances from which it was decided; unknown for one that each works out by itself.
 
 	bool operator==(const CellCount &) const = default;
 };
@@ -30,26 +30,28 @@
  */
 class CellDivision {
 public:
-	static constexpr size_t UNDIVIDED_MOST = 96; ///< Instances of a hall up to which there is one cell: links to all cost little till then.
-	static constexpr size_t CELL_MOST = 32;      ///< Instances of a hall above which a cell is split.
-	static constexpr size_t CELL_LEAST = 12;     ///< Those below which cells are joined; well under half, so that restarts change nothing.
-	static constexpr uint32_t FIRST_DIVISION = 4; ///< Least number of cells of a divided fleet.
+	static constexpr size_t MAX_UNDIVIDED_INSTANCES =
+	        96; ///< Instances of a hall up to which there is one cell: links to all cost little till then.
+	static constexpr size_t MAX_CELL_INSTANCES = 32; ///< Instances of a hall above which a cell is split.
+	static constexpr size_t MIN_CELL_INSTANCES =
+	        12; ///< Those below which cells are joined; well under half, so that restarts change nothing.
+	static constexpr uint32_t MIN_DIVIDED_CELLS = 4; ///< Least number of cells of a divided fleet.
 
 	explicit CellDivision(std::string_view own_name);
 
 	/**
 	 * The whole list of instances was read as of \a version.
-	 * @param in_hall Instances of the hall that has most.
-	 * @param growing The fleet starts for the first time: the list is not complete yet, and a newer one tells more.
+	 * @param largest_hall Instances of the hall that has most.
+	 * @param bootstrapping The fleet starts for the first time: the list is not complete yet, and a newer one tells more.
 	 * @return Whether the number of cells has changed.
 	 */
-	bool OnList(size_t in_hall, StoreVersion version, bool growing);
+	bool OnInstanceList(size_t largest_hall, StoreVersion version, bool bootstrapping);
 
-	/** Instances have come or gone since; see OnList(). @return Whether the number of cells has changed. */
-	bool OnChanges(size_t in_hall, StoreVersion version);
+	/** Instances have come or gone since; see OnInstanceList(). @return Whether the number of cells has changed. */
+	bool OnInstanceChanges(size_t largest_hall, StoreVersion version);
 
-	/** Another instance divides the fleet as \a told says. @return Whether the number of cells has changed here. */
-	bool OnTold(CellCount told);
+	/** Another instance divides the fleet as \a peer_cells says. @return Whether the number of cells has changed here. */
+	bool OnPeerCellCount(CellCount peer_cells);
 
 	/** @return Into how many cells the fleet is divided. */
 	const CellCount &Count() const { return this->count; }
@@ -60,20 +62,20 @@
 private:
 	bool Decide(CellCount decision);
 
-	uint64_t own_hash;       ///< Hash of this instance's name.
-	CellCount count;         ///< Number of cells.
-	size_t in_hall = 0;      ///< Instances known in the largest hall.
-	StoreVersion list;       ///< Version of the list they were read from; unknown before.
-	bool is_growing = false; ///< That list was not complete.
+	uint64_t own_hash;             ///< Hash of this instance's name.
+	CellCount count;               ///< Number of cells.
+	size_t largest_hall = 0;       ///< Instances known in the largest hall.
+	StoreVersion list;             ///< Version of the list they were read from; unknown before.
+	bool is_bootstrapping = false; ///< That list was not complete.
 };
 
 /** Among how many cells the targets of one pool in one hall are divided. */
-struct PoolParts {
-	std::string pool;   ///< Pool.
-	std::string hall;   ///< Data hall.
-	uint32_t parts = 1; ///< Cells, a power of two; each target of it is in one of so many groups of cells.
+struct PoolShards {
+	std::string pool;    ///< Pool.
+	std::string hall;    ///< Data hall.
+	uint32_t shards = 1; ///< Cells, a power of two; each target of it is in one of so many groups of cells.
 
-	bool operator==(const PoolParts &) const = default;
+	bool operator==(const PoolShards &) const = default;
 };
 
 /**
@@ -82,7 +84,7 @@
  */
 class TargetDivision {
 public:
-	static constexpr size_t KEPT_LEAST = 8; ///< Targets of a pool in a hall that a cell keeps on average where there are as many.
+	static constexpr size_t MIN_TARGETS_PER_CELL = 8; ///< Targets of a pool in a hall that a cell keeps on average where there are as many.
 
 	explicit TargetDivision(std::string_view own_name);
 
@@ -90,10 +92,10 @@
 	void Divide(const std::vector<TargetRow> &all, uint32_t cells);
 
 	/** Another instance has divided them as \a divided says. @return Whether that is news. */
-	bool Set(std::vector<PoolParts> divided);
+	bool Set(std::vector<PoolShards> divided);
 
 	/** @return How they are divided; pools that are not are left out. */
-	const std::vector<PoolParts> &Parts() const { return this->parts; }
+	const std::vector<PoolShards> &Shards() const { return this->shards; }
 
 	/** @return Whether \a target is one of those that the cell of this instance knows. */
 	bool IsOwn(const ListedTarget &target) const;
@@ -102,10 +104,10 @@
 	double ShareOf(std::string_view pool, std::string_view hall, uint32_t cells) const;
 
 private:
-	uint32_t PartsOf(std::string_view pool, std::string_view hall) const;
+	uint32_t ShardsOf(std::string_view pool, std::string_view hall) const;
 
-	uint64_t own_hash;            ///< Hash of this instance's name.
-	std::vector<PoolParts> parts; ///< Divided pools.
+	uint64_t own_hash;              ///< Hash of this instance's name.
+	std::vector<PoolShards> shards; ///< Divided pools.
 };
 
 } // namespace cottonspool
--- a/src/decision/cold_start.h
+++ b/src/decision/cold_start.h
@@ -15,11 +15,11 @@
 	/** The target is cold until \a end at least. */
 	void ExtendTo(TimePoint end) { this->cold_until = std::max(this->cold_until, end); }
 
-	/** From now on this instance may send \a to_keep. */
-	void SetShare(RateShare to_keep)
+	/** From now on this instance may send \a share. */
+	void SetShare(RateShare share)
 	{
-		this->most = to_keep.most;
-		this->gate.SetWindow(to_keep.window);
+		this->max_requests = share.max_requests;
+		this->gate.SetWindow(share.window);
 	}
 
 	/** @return Whether the target is cold at \a now. */
@@ -29,20 +29,20 @@
 	bool MaySend(TimePoint now) const
 	{
 		if (!this->IsCold(now)) return true;
-		return this->gate.SentLately(now) < this->most;
+		return this->gate.SentInWindow(now) < this->max_requests;
 	}
 
 	/** @return When this instance may send it a request at the earliest. */
 	TimePoint FreeAt(TimePoint now) const
 	{
-		return this->IsCold(now) ? std::min(this->cold_until, this->gate.FreeAt(this->most, now)) : now;
+		return this->IsCold(now) ? std::min(this->cold_until, this->gate.FreeAt(this->max_requests, now)) : now;
 	}
 
 	/** This instance sends it a request. */
 	void OnSent(TimePoint now) { this->gate.OnSent(now); }
 
 private:
-	uint32_t most = 0;                      ///< This instance's share of each window.
+	uint32_t max_requests = 0;              ///< This instance's share of each window.
 	RateGate gate{std::chrono::seconds(1)}; ///< What it has sent.
 	TimePoint cold_until;                   ///< End of the start.
 };
--- a/src/decision/decision_executor.h
+++ b/src/decision/decision_executor.h
@@ -14,32 +14,32 @@
 /**
  * Carries decisions out one after another. What is decided while one of them is carried out waits until it is done, so that
  * no call is entered twice.
- * @tparam Call Has OnSend(SendAction) and OnGiveUp(GiveUpAction).
+ * @tparam Call Has OnSend(SendAction) and OnReject(RejectAction).
  */
-template <typename Call> class DecisionCarrier {
+template <typename Call> class DecisionExecutor {
 public:
 	using Calls = std::unordered_map<CallId, std::shared_ptr<Call>, StrongIdHash>;
 
 	/** Decisions go to those of \a calls that are still there. */
-	explicit DecisionCarrier(const Calls &calls) : calls(calls) {}
+	explicit DecisionExecutor(const Calls &calls) : calls(calls) {}
 
 	/** Carry out \a decisions, now or behind those that are being carried out. */
-	void Carry(Decisions decisions)
+	void Execute(Decisions decisions)
 	{
 		this->waiting.push_back(std::move(decisions));
-		if (this->carrying) return;
-		this->carrying = true;
+		if (this->executing) return;
+		this->executing = true;
 		while (!this->waiting.empty()) {
 			Decisions next = std::move(this->waiting.front());
 			this->waiting.pop_front();
 			for (const SendAction &action : next.sends) {
 				if (std::shared_ptr<Call> call = this->Find(action.call)) call->OnSend(action);
 			}
-			for (const GiveUpAction &action : next.give_ups) {
-				if (std::shared_ptr<Call> call = this->Find(action.call)) call->OnGiveUp(action);
+			for (const RejectAction &action : next.rejections) {
+				if (std::shared_ptr<Call> call = this->Find(action.call)) call->OnReject(action);
 			}
 		}
-		this->carrying = false;
+		this->executing = false;
 	}
 
 private:
@@ -52,7 +52,7 @@
 
 	const Calls &calls;            ///< Calls not yet answered.
 	std::deque<Decisions> waiting; ///< Decisions not yet carried out.
-	bool carrying = false;         ///< Decisions are being carried out.
+	bool executing = false;        ///< Decisions are being carried out.
 };
 
 } // namespace cottonspool
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -15,10 +15,10 @@
 static constexpr size_t MAX_ACCOUNT_BUDGETS = 4096;              ///< Account budgets remembered; all are dropped beyond.
 
 /** Pressure by which an engine in another hall must be better for a move: a copy there takes twice as long, and others wait behind it. */
-static constexpr double MOVE_OTHER_HALL_PENALTY = 0.5;
+static constexpr double MIGRATION_OTHER_HALL_PENALTY = 0.5;
 
 /** Time between tokens that is assumed while none was measured, in seconds; from the operators' sheets (7 ms a step and more). */
-static constexpr double USUAL_TOKEN_INTERVAL = 0.01;
+static constexpr double DEFAULT_TOKEN_INTERVAL = 0.01;
 
 /** Engine priority of each class: what is smallest is preempted first. */
 static constexpr std::array<int, SERVICE_CLASS_COUNT> CLASS_PRIORITY{200, 100, 0};
@@ -35,11 +35,11 @@
 	return call.prompt_tokens + this->lengths.Residual(call, 0);
 }
 
-bool Dispatcher::AnyTarget(const CallSpec &call) const
+bool Dispatcher::HasEligibleTarget(const CallSpec &call) const
 {
 	for (TargetNumber number : this->targets.ForModel(call.model)) {
 		const TargetState &target = this->targets.Get(number);
-		if (!target.bounds.leaving && !target.bounds.emptied && MayRunIn(call, target.hall)) return true;
+		if (!target.restrictions.draining && !target.restrictions.evacuated && MayRunIn(call, target.hall)) return true;
 	}
 	return false;
 }
@@ -51,32 +51,33 @@
 
 Duration Dispatcher::RetryAfter(const CallSpec &call, TimePoint now) const
 {
-	auto refused = this->refusals.find(call.model.value);
+	auto refused = this->overloads.find(call.model.value);
 	Duration drain = this->Drain(call);
 	uint64_t random = HashText("retry-after", call.id.value);
 	// Nothing helps a request under which targets end but that what they run is mended.
-	if (this->IsQuarantined(call, now)) return std::min<Duration>(this->quarantine.Left(call.print, now), this->limits.retry_after_max);
-	Duration wait = refused == this->refusals.end() ? drain : refused->second.RetryAfter(drain, random, now);
+	if (this->IsQuarantined(call, now))
+		return std::min<Duration>(this->quarantine.RemainingTime(call.fingerprint, now), this->limits.retry_after_max);
+	Duration wait = refused == this->overloads.end() ? drain : refused->second.RetryAfter(drain, random, now);
 	return std::clamp(wait, this->limits.retry_after_min, this->limits.retry_after_max);
 }
 
 /** @return Whether a call given up for \a reason was refused for want of room: one that comes back at once meets the same load. */
-static bool WantsRoom(GiveUpReason reason)
+static bool IsOverload(RejectReason reason)
 {
-	return reason == GiveUpReason::DeadlinePassed || reason == GiveUpReason::WaitTooLong || reason == GiveUpReason::QueueFull;
+	return reason == RejectReason::DeadlinePassed || reason == RejectReason::WaitTooLong || reason == RejectReason::QueueFull;
 }
 
-void Dispatcher::GiveUp(const CallSpec &call, GiveUpReason reason, TimePoint now, Decisions &decisions)
+void Dispatcher::Reject(const CallSpec &call, RejectReason reason, TimePoint now, Decisions &decisions)
 {
-	this->counters.given_up[static_cast<size_t>(reason)]++;
-	if (WantsRoom(reason)) this->refusals[call.model.value].OnRefused(now);
-	decisions.give_ups.push_back({call.id, reason, this->RetryAfter(call, now)});
+	this->counters.rejected[static_cast<size_t>(reason)]++;
+	if (IsOverload(reason)) this->overloads[call.model.value].OnRejected(now);
+	decisions.rejections.push_back({call.id, reason, this->RetryAfter(call, now)});
 	this->calls.erase(call.id);
 }
 
 /** @return When a caller should come back who is refused since no target may get the request for \a wait: spread by \a random, so that
  *          those who were refused together don't all come at the moment when the first target is free again. */
-static Duration RetryAfterBound(Duration wait, uint64_t random)
+static Duration RetryAfterRestriction(Duration wait, uint64_t random)
 {
 	static constexpr Duration LEAST_SPREAD = std::chrono::milliseconds(300);
 	static constexpr uint64_t STEPS = 1000;
@@ -84,18 +85,18 @@
 	return wait + spread * static_cast<int64_t>(random % STEPS) / static_cast<int64_t>(STEPS);
 }
 
-bool Dispatcher::GiveUpIfBound(const CallSpec &call, TimePoint now, Decisions &decisions)
+bool Dispatcher::RejectIfRestricted(const CallSpec &call, TimePoint now, Decisions &decisions)
 {
-	BoundCounts counts{};
+	RestrictionCounts counts{};
 	TimePoint free_at = this->targets.FreeAt(call, now, &counts);
 	if (free_at <= std::max(now, call.deadline)) return false;
-	this->counters.given_up[static_cast<size_t>(GiveUpReason::AllBound)]++;
+	this->counters.rejected[static_cast<size_t>(RejectReason::AllRestricted)]++;
 	// Where time alone brings none, what is told is what helps for want of room.
 	bool known = free_at != TimePoint::max();
-	Duration wait = known ? RetryAfterBound(free_at - now, HashText("bound", call.id.value)) : this->RetryAfter(call, now);
+	Duration wait = known ? RetryAfterRestriction(free_at - now, HashText("bound", call.id.value)) : this->RetryAfter(call, now);
 	wait = std::clamp(wait, this->limits.retry_after_min, this->limits.retry_after_max);
 	this->queue.Remove(call.id);
-	decisions.give_ups.push_back({call.id, GiveUpReason::AllBound, wait, counts});
+	decisions.rejections.push_back({call.id, RejectReason::AllRestricted, wait, counts});
 	this->calls.erase(call.id);
 	return true;
 }
@@ -104,31 +105,31 @@
 {
 	Decisions decisions;
 	this->counters.submitted++;
-	this->calls.emplace(call.id, Tracked{.call = call});
+	this->calls.emplace(call.id, TrackedCall{.call = call});
 	if (this->IsQuarantined(call, now)) {
-		this->GiveUp(call, GiveUpReason::Quarantined, now, decisions);
+		this->Reject(call, RejectReason::Quarantined, now, decisions);
 		return decisions;
 	}
-	if (!this->AnyTarget(call)) {
-		this->GiveUp(call, GiveUpReason::NoTarget, now, decisions);
+	if (!this->HasEligibleTarget(call)) {
+		this->Reject(call, RejectReason::NoTarget, now, decisions);
 		return decisions;
 	}
 	Duration drain = this->Drain(call);
 	if (this->limits.refuse_early && drain > Duration(0) && now + drain > call.deadline) {
-		this->GiveUp(call, GiveUpReason::WaitTooLong, now, decisions);
+		this->Reject(call, RejectReason::WaitTooLong, now, decisions);
 		return decisions;
 	}
 	if (!this->queue.Push(call, this->ExpectedTokens(call))) {
-		this->GiveUp(call, GiveUpReason::QueueFull, now, decisions);
+		this->Reject(call, RejectReason::QueueFull, now, decisions);
 		return decisions;
 	}
 	this->Drain(now, decisions);
 	auto waiting = this->calls.find(call.id);
-	if (waiting != this->calls.end() && !waiting->second.holder) this->GiveUpIfBound(call, now, decisions);
+	if (waiting != this->calls.end() && !waiting->second.holder) this->RejectIfRestricted(call, now, decisions);
 	return decisions;
 }
 
-template <typename Refuse> void Dispatcher::RefuseWaiting(GiveUpReason reason, TimePoint now, Decisions &decisions, Refuse refuse)
+template <typename Refuse> void Dispatcher::RejectWaiting(RejectReason reason, TimePoint now, Decisions &decisions, Refuse refuse)
 {
 	std::vector<CallSpec> refused;
 	for (const auto &[id, tracked] : this->calls) {
@@ -136,27 +137,27 @@
 	}
 	for (const CallSpec &call : refused) {
 		this->queue.Remove(call.id);
-		this->GiveUp(call, reason, now, decisions);
+		this->Reject(call, reason, now, decisions);
 	}
 }
 
-Decisions Dispatcher::OnPlacesChanged(TimePoint now)
+Decisions Dispatcher::OnPlacementChanged(TimePoint now)
 {
 	Decisions decisions;
-	this->RefuseWaiting(GiveUpReason::NoTarget, now, decisions, [this](const CallSpec &call) { return !this->AnyTarget(call); });
+	this->RejectWaiting(RejectReason::NoTarget, now, decisions, [this](const CallSpec &call) { return !this->HasEligibleTarget(call); });
 	this->Drain(now, decisions);
 	std::vector<CallSpec> waiting;
 	for (const auto &[id, tracked] : this->calls) {
 		if (!tracked.holder) waiting.push_back(tracked.call);
 	}
-	for (const CallSpec &call : waiting) this->GiveUpIfBound(call, now, decisions);
+	for (const CallSpec &call : waiting) this->RejectIfRestricted(call, now, decisions);
 	return decisions;
 }
 
-Decisions Dispatcher::OnSuspicionChanged(TimePoint now)
+Decisions Dispatcher::OnQuarantineChanged(TimePoint now)
 {
 	Decisions decisions;
-	this->RefuseWaiting(GiveUpReason::Quarantined, now, decisions,
+	this->RejectWaiting(RejectReason::Quarantined, now, decisions,
 	                    [this, now](const CallSpec &call) { return this->IsQuarantined(call, now); });
 	return decisions;
 }
@@ -167,7 +168,7 @@
 	if (found != this->calls.end()) found->second.call.halls = std::move(halls);
 }
 
-void Dispatcher::Withdraw(CallId call)
+void Dispatcher::CancelWaiting(CallId call)
 {
 	this->queue.Remove(call);
 	this->calls.erase(call);
@@ -175,7 +176,7 @@
 
 bool Dispatcher::TrySend(const CallSpec &call, TimePoint now, Decisions &decisions)
 {
-	Tracked &tracked = this->calls.at(call.id);
+	TrackedCall &tracked = this->calls.at(call.id);
 	// Time may have jumped since the last tick, which gives up what is late: a machine that was suspended reads what came in first.
 	if (now < tracked.not_before || now > tracked.call.deadline) return false;
 	// Its halls may have changed while it waited.
@@ -191,7 +192,7 @@
 	this->counters.sends++;
 	this->in_flight++;
 	this->targets.OnSent(*target, call, now);
-	this->targets.NoteRequest(*target, now);
+	this->targets.OnRequestSent(*target, now);
 	this->target_budgets.try_emplace(target->value, this->limits.retry).first->second.OnFirstAttempt();
 	if (this->account_budgets.size() > MAX_ACCOUNT_BUDGETS) this->account_budgets.clear();
 	this->account_budgets.try_emplace(call.account.value, this->limits.retry).first->second.OnFirstAttempt();
@@ -203,7 +204,7 @@
 void Dispatcher::Drain(TimePoint now, Decisions &decisions)
 {
 	auto visit = [&](const CallSpec &call) { return this->TrySend(call, now, decisions); };
-	while (this->queue.ForEachHead(this->limits.heads_tried, visit) > 0) {}
+	while (this->queue.ForEachHead(this->limits.max_heads_tried, visit) > 0) {}
 }
 
 void Dispatcher::OnToken(CallId call, TimePoint now, uint32_t tokens)
@@ -213,31 +214,31 @@
 	this->targets.OnToken(*found->second.holder, call, now, tokens);
 }
 
-TimePoint Dispatcher::RenewDeadline(Tracked &tracked, TimePoint now) const
+TimePoint Dispatcher::ExtendDeadline(TrackedCall &tracked, TimePoint now) const
 {
 	CallSpec &call = tracked.call;
-	if (call.ends_at == TimePoint::max()) return call.deadline;
+	if (call.response_deadline == TimePoint::max()) return call.deadline;
 	// A call that was sent has been offered: its wait for another target begins anew, within its time.
-	call.deadline = std::min(call.ends_at, now + (call.deadline - call.arrived));
+	call.deadline = std::min(call.response_deadline, now + (call.deadline - call.arrived));
 	call.arrived = now;
-	call.press_from = now;
-	return call.ends_at;
+	call.overcommit_from = now;
+	return call.response_deadline;
 }
 
 /** @return What the instance \a own may save up where there is \a share for each, which is less than one: nobody can use a part of one. */
-static double DrawnShare(double share, std::string_view own)
+static double DrawRetryBurst(double share, std::string_view own)
 {
-	static constexpr double KEPT_BACK = 0.1; // Of as many lots now and then more win than should.
-	static constexpr uint64_t LOTS = 1U << 20;
-	double lot = static_cast<double>(HashText(own) % LOTS) / static_cast<double>(LOTS);
-	return lot < share * (1 - KEPT_BACK) ? 1 : 0;
+	static constexpr double WIN_MARGIN = 0.1; // Of as many lots now and then more win than should.
+	static constexpr uint64_t LOT_COUNT = 1U << 20;
+	double lot = static_cast<double>(HashText(own) % LOT_COUNT) / static_cast<double>(LOT_COUNT);
+	return lot < share * (1 - WIN_MARGIN) ? 1 : 0;
 }
 
-void Dispatcher::ShareRetries(double slack, size_t instances, std::string_view own)
+void Dispatcher::SetRetryShare(double slack, size_t instances, std::string_view own)
 {
 	if (!this->limits.pool_retry) return;
 	double share = slack / static_cast<double>(std::max<size_t>(instances, 1));
-	double burst = share < 1 ? DrawnShare(share, own) : share;
+	double burst = share < 1 ? DrawRetryBurst(share, own) : share;
 	if (burst == this->limits.pool_retry->burst) return;
 	this->limits.pool_retry->burst = burst;
 	for (auto &[model, budget] : this->pool_budgets) budget.SetBurst(burst);
@@ -249,7 +250,7 @@
 	return &this->pool_budgets.try_emplace(model.value, *this->limits.pool_retry).first->second;
 }
 
-bool Dispatcher::SpendRetry(const Tracked &tracked)
+bool Dispatcher::SpendRetry(const TrackedCall &tracked)
 {
 	RetryBudget *pool = this->PoolBudget(tracked.call.model);
 	if (pool != nullptr) return pool->TryRetry();
@@ -258,82 +259,83 @@
 	return target.TryRetry() && account.TryRetry();
 }
 
-void Dispatcher::SendAgain(Tracked &tracked, SendEnd end, TimePoint now, Decisions &decisions)
+void Dispatcher::RetryCall(TrackedCall &tracked, SendOutcome end, TimePoint now, Decisions &decisions)
 {
 	if (this->IsQuarantined(tracked.call, now)) {
-		CallSpec given_up = tracked.call;
-		this->GiveUp(given_up, GiveUpReason::Quarantined, now, decisions);
+		CallSpec rejected = tracked.call;
+		this->Reject(rejected, RejectReason::Quarantined, now, decisions);
 		return;
 	}
 	uint32_t most = tracked.call.max_attempts > 0 ? tracked.call.max_attempts : this->limits.max_attempts;
-	if (tracked.attempts >= most || now >= this->RenewDeadline(tracked, now)) {
-		CallSpec given_up = tracked.call;
-		this->GiveUp(given_up, GiveUpReason::DeadlinePassed, now, decisions);
+	if (tracked.attempts >= most || now >= this->ExtendDeadline(tracked, now)) {
+		CallSpec rejected = tracked.call;
+		this->Reject(rejected, RejectReason::DeadlinePassed, now, decisions);
 		return;
 	}
 	if (!this->SpendRetry(tracked)) {
-		CallSpec given_up = tracked.call;
-		this->GiveUp(given_up, GiveUpReason::RetryBudget, now, decisions);
+		CallSpec rejected = tracked.call;
+		this->Reject(rejected, RejectReason::RetryBudget, now, decisions);
 		return;
 	}
 	uint64_t random = HashText("backoff", tracked.call.id.value * 31 + tracked.attempts);
 	RetryBudget &target = this->target_budgets.at(tracked.holder->value);
-	tracked.not_before = end == SendEnd::NotRun || end == SendEnd::TurnedAway ? now : now + target.Backoff(tracked.attempts, random);
+	tracked.not_before =
+	        end == SendOutcome::NotExecuted || end == SendOutcome::Rejected ? now : now + target.Backoff(tracked.attempts, random);
 	tracked.call.avoid.push_back(*tracked.holder);
 	tracked.holder.reset();
 	this->queue.PushFront(tracked.call, this->ExpectedTokens(tracked.call));
 }
 
-void Dispatcher::TryElsewhere(Tracked &tracked, TimePoint now, Decisions &decisions)
+void Dispatcher::RetryUnreachable(TrackedCall &tracked, TimePoint now, Decisions &decisions)
 {
 	tracked.attempts--;
 	tracked.call.avoid.push_back(*tracked.holder);
 	tracked.holder.reset();
 	if (this->IsQuarantined(tracked.call, now)) {
-		CallSpec given_up = tracked.call;
-		this->GiveUp(given_up, GiveUpReason::Quarantined, now, decisions);
+		CallSpec rejected = tracked.call;
+		this->Reject(rejected, RejectReason::Quarantined, now, decisions);
 		return;
 	}
-	if (++tracked.unsent >= this->limits.max_unsent || now >= this->RenewDeadline(tracked, now)) {
-		CallSpec given_up = tracked.call;
-		this->GiveUp(given_up, GiveUpReason::NoTarget, now, decisions);
+	if (++tracked.unreachable_sends >= this->limits.max_unreachable_sends || now >= this->ExtendDeadline(tracked, now)) {
+		CallSpec rejected = tracked.call;
+		this->Reject(rejected, RejectReason::NoTarget, now, decisions);
 		return;
 	}
 	this->queue.PushFront(tracked.call, this->ExpectedTokens(tracked.call));
 }
 
 /** @return How the target behaved whose send ended with \a end. */
-static TargetConduct ConductOf(SendEnd end)
+static SendResult SendResultOf(SendOutcome end)
 {
-	if (end == SendEnd::Complete || end == SendEnd::CallerGone) return TargetConduct::Well;
-	if (end == SendEnd::TurnedAway) return TargetConduct::TurnedAway;
-	return end == SendEnd::NotSent ? TargetConduct::Unreachable : TargetConduct::Failed;
+	if (end == SendOutcome::Complete || end == SendOutcome::CallerDisconnected) return SendResult::Answered;
+	if (end == SendOutcome::Rejected) return SendResult::Rejected;
+	return end == SendOutcome::NotSent ? SendResult::Unreachable : SendResult::Failed;
 }
 
-Decisions Dispatcher::OnSendEnded(CallId id, SendEnd end, TimePoint now)
+Decisions Dispatcher::OnSendEnded(CallId id, SendOutcome end, TimePoint now)
 {
 	Decisions decisions;
 	auto found = this->calls.find(id);
 	if (found == this->calls.end() || !found->second.holder) return decisions;
-	Tracked &tracked = found->second;
-	uint32_t generated = this->targets.OnEnded(*tracked.holder, id, ConductOf(end), now);
+	TrackedCall &tracked = found->second;
+	uint32_t generated = this->targets.OnEnded(*tracked.holder, id, SendResultOf(end), now);
 	this->in_flight--;
-	if (end == SendEnd::Complete && tracked.call.generated) this->lengths.Learn(tracked.call, generated);
+	if (end == SendOutcome::Complete && tracked.call.generated) this->lengths.Learn(tracked.call, generated);
 	double cost = tracked.call.generated ? tracked.call.prompt_tokens + generated : 1;
 	this->queue.Correct(tracked.call, cost - tracked.charged);
-	bool failed = end == SendEnd::Lost || end == SendEnd::Failed;
-	bool not_run = end == SendEnd::NotRun || end == SendEnd::TurnedAway;
-	bool again = not_run || (failed && tracked.call.repeatable && this->limits.retry_failed);
-	if (end == SendEnd::NotSent) {
-		this->TryElsewhere(tracked, now, decisions);
+	bool failed = end == SendOutcome::Lost || end == SendOutcome::Failed;
+	bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected;
+	bool again = not_executed || (failed && tracked.call.repeatable && this->limits.retry_failed);
+	if (end == SendOutcome::NotSent) {
+		this->RetryUnreachable(tracked, now, decisions);
 	} else if (again) {
-		this->SendAgain(tracked, end, now, decisions);
+		this->RetryCall(tracked, end, now, decisions);
 	} else {
 		this->calls.erase(found);
 	}
 	this->Drain(now, decisions);
 	auto waiting = this->calls.find(id);
-	if (waiting != this->calls.end() && !waiting->second.holder) this->GiveUpIfBound(CallSpec(waiting->second.call), now, decisions);
+	if (waiting != this->calls.end() && !waiting->second.holder) this->RejectIfRestricted(CallSpec(waiting->second.call), now, decisions);
 	return decisions;
 }
 
@@ -345,7 +347,7 @@
 	return decisions;
 }
 
-void Dispatcher::MeasureRate(double tokens, TimePoint now)
+void Dispatcher::UpdateDispatchRate(double tokens, TimePoint now)
 {
 	if (now - this->rate_since < RATE_WINDOW) return;
 	double measured = tokens / Seconds(now - this->rate_since);
@@ -359,21 +361,21 @@
 Decisions Dispatcher::OnTick(TimePoint now)
 {
 	Decisions decisions;
-	for (const CallSpec &call : this->queue.TakeExpired(now)) this->GiveUp(call, GiveUpReason::DeadlinePassed, now, decisions);
+	for (const CallSpec &call : this->queue.TakeExpired(now)) this->Reject(call, RejectReason::DeadlinePassed, now, decisions);
 	if (now - this->slow_checked >= SLOW_CHECK) {
-		this->targets.RefreshSlow();
+		this->targets.UpdateSlowTargets();
 		this->slow_checked = now;
 	}
 	this->Drain(now, decisions);
-	this->MeasureRate(this->rate_tokens, now);
+	this->UpdateDispatchRate(this->rate_tokens, now);
 	return decisions;
 }
 
-std::optional<TargetNumber> Dispatcher::ChooseMove(CallId id, const std::vector<TargetNumber> &refused, TimePoint now)
+std::optional<TargetNumber> Dispatcher::ChooseMigrationTarget(CallId id, const std::vector<TargetNumber> &refused, TimePoint now)
 {
 	auto found = this->calls.find(id);
 	if (found == this->calls.end() || !found->second.holder) return std::nullopt;
-	const Tracked &tracked = found->second;
+	const TrackedCall &tracked = found->second;
 	if (this->IsQuarantined(tracked.call, now)) return std::nullopt;
 	CallSpec run = tracked.call;
 	const TargetState &source = this->targets.Get(*tracked.holder);
@@ -384,16 +386,16 @@
 	for (HallPreference &hall : run.halls) {
 		if (hall.hall == source.hall) std::swap(hall, run.halls.front());
 	}
-	run.other_hall_penalty = std::max(run.other_hall_penalty, MOVE_OTHER_HALL_PENALTY);
+	run.other_hall_penalty = std::max(run.other_hall_penalty, MIGRATION_OTHER_HALL_PENALTY);
 	run.avoid = refused;
 	run.avoid.push_back(*tracked.holder);
-	run.avoid_strictly = true;
-	run.avoid_cold = true;
-	run.press_from = now;
+	run.exclude_avoided = true;
+	run.exclude_cold = true;
+	run.overcommit_from = now;
 	return this->router->Choose(run, this->targets, now);
 }
 
-Duration Dispatcher::CopyWait(CallId id, const EnginePool &pool, Duration least_rest) const
+Duration Dispatcher::MigrationCopyDelay(CallId id, const EnginePool &pool, Duration min_remaining) const
 {
 	std::optional<TargetNumber> holder = this->Holder(id);
 	if (!holder) return Duration(0);
@@ -401,21 +403,21 @@
 	auto own = source.in_flight.find(id);
 	if (own == source.in_flight.end()) return Duration(0);
 	auto held = [](const InFlightCall &flight) { return flight.call.prompt_tokens + flight.generated; };
-	double interval = source.interval > 0 ? source.interval : USUAL_TOKEN_INTERVAL;
+	double interval = source.interval > 0 ? source.interval : DEFAULT_TOKEN_INTERVAL;
 	Duration wait{0};
 	for (const auto &[other, flight] : source.in_flight) {
-		if (other == id || FromSeconds(flight.residual * interval) < least_rest) continue;
+		if (other == id || FromSeconds(flight.residual * interval) < min_remaining) continue;
 		bool before = held(flight) != held(own->second) ? held(flight) < held(own->second) : other < id;
 		if (before) wait += CopyTime(pool, held(flight));
 	}
 	return wait;
 }
 
-void Dispatcher::OnMoved(CallId id, TargetNumber target, TimePoint now)
+void Dispatcher::OnMigrated(CallId id, TargetNumber target, TimePoint now)
 {
 	auto found = this->calls.find(id);
 	if (found == this->calls.end() || !found->second.holder) return;
-	this->targets.OnMoved(*found->second.holder, target, id, now);
+	this->targets.OnMigrated(*found->second.holder, target, id, now);
 	this->target_budgets.try_emplace(target.value, this->limits.retry);
 	found->second.holder = target;
 }
--- a/src/decision/hall_load.h
+++ b/src/decision/hall_load.h
@@ -9,7 +9,7 @@
 namespace cottonspool {
 
 /** What is at one target, summed up. */
-struct TargetSum {
+struct TargetLoadSum {
 	std::string target;       ///< Target.
 	uint32_t held_tokens = 0; ///< Memory held by calls, in tokens.
 	uint32_t calls = 0;       ///< Calls there.
@@ -18,13 +18,13 @@
 
 /** What one data hall tells the others. */
 struct HallLoadMessage {
-	std::string hall;               ///< Hall that tells it.
-	bool relayed = false;           ///< It was passed on by an instance of the receiver's hall.
-	std::vector<TargetSum> at_home; ///< Its own targets at which something is, with the calls of all halls.
-	std::vector<TargetSum> abroad;  ///< Targets of other halls, with the calls of this hall's instances.
+	std::string hall;                          ///< Hall that tells it.
+	bool forwarded = false;                    ///< It was passed on by an instance of the receiver's hall.
+	std::vector<TargetLoadSum> local_targets;  ///< Its own targets at which something is, with the calls of all halls.
+	std::vector<TargetLoadSum> remote_targets; ///< Targets of other halls, with the calls of this hall's instances.
 
 	/** @return Whether it tells that nothing is anywhere. */
-	bool IsEmpty() const { return this->at_home.empty() && this->abroad.empty(); }
+	bool IsEmpty() const { return this->local_targets.empty() && this->remote_targets.empty(); }
 };
 
 /**
@@ -37,15 +37,15 @@
 	HallLoad(TargetTable &targets, std::string own_hall) : targets(targets), own_hall(std::move(own_hall)) {}
 
 	/** @return What the own hall tells the others at \a now. */
-	HallLoadMessage Tell(TimePoint now) const;
+	HallLoadMessage BuildMessage(TimePoint now) const;
 
 	/** Take in what another hall tells. @return The loads of its own targets, to be taken like their reports. */
-	std::vector<ReportNews> OnMessage(const HallLoadMessage &message, TimePoint now);
+	std::vector<ReportUpdate> OnMessage(const HallLoadMessage &message, TimePoint now);
 
 private:
-	TargetTable &targets;                                 ///< Targets.
-	std::string own_hall;                                 ///< Hall of this instance.
-	std::map<std::string, std::set<TargetNumber>> in_use; ///< Targets of other halls at which something was, as told last.
+	TargetTable &targets;                                           ///< Targets.
+	std::string own_hall;                                           ///< Hall of this instance.
+	std::map<std::string, std::set<TargetNumber>> reported_targets; ///< Targets of other halls at which something was, as told last.
 };
 
 } // namespace cottonspool
--- a/src/decision/lease.cpp
+++ b/src/decision/lease.cpp
@@ -9,10 +9,10 @@
 LeaseStep Lease::Next(TimePoint now) const
 {
 	if (this->resigned) return LeaseStep::Nothing;
-	if (!this->seen || this->doubtful) return LeaseStep::Read;
+	if (!this->has_seen_row || this->outcome_unknown) return LeaseStep::Read;
 	bool mine = this->row.holder == this->holder;
-	if (this->Held(now)) return now - this->last_look >= this->length / RENEW_PARTS ? LeaseStep::Write : LeaseStep::Nothing;
-	if (now - this->last_look < this->length / RENEW_PARTS) return LeaseStep::Nothing;
+	if (this->Held(now)) return now - this->last_access >= this->length / RENEWALS_PER_LEASE ? LeaseStep::Write : LeaseStep::Nothing;
+	if (now - this->last_access < this->length / RENEWALS_PER_LEASE) return LeaseStep::Nothing;
 	bool free = this->row.version.empty() || mine || now - this->row_since >= this->length;
 	return free ? LeaseStep::Write : LeaseStep::Read;
 }
@@ -24,33 +24,33 @@
 
 void Lease::OnRead(const LeaseRow &read, TimePoint now)
 {
-	bool changed = !this->seen || read.version != this->row.version;
+	bool changed = !this->has_seen_row || read.version != this->row.version;
 	if (changed) this->row_since = now;
-	this->seen = true;
-	this->last_look = now;
+	this->has_seen_row = true;
+	this->last_access = now;
 	this->row = read;
-	if (!this->doubtful) return;
-	this->doubtful = false;
+	if (!this->outcome_unknown) return;
+	this->outcome_unknown = false;
 	if (read.nonce != this->pending_nonce || read.holder != this->holder) return;
 	if (!this->Held(now)) this->held_since = now;
-	this->held_until = this->pending_sent + this->length - this->length / MARGIN_PARTS;
+	this->held_until = this->pending_sent_at + this->length - this->length / SAFETY_MARGIN_DIVISOR;
 }
 
 void Lease::OnWritten(const LeaseRow &written, WriteResult result, const std::string &version, TimePoint sent_at, TimePoint now)
 {
-	this->last_look = now;
+	this->last_access = now;
 	if (result == WriteResult::Done) {
 		if (!this->Held(now)) this->held_since = now;
 		this->row = written;
 		this->row.version = version;
 		this->row_since = now;
-		this->held_until = sent_at + this->length - this->length / MARGIN_PARTS;
+		this->held_until = sent_at + this->length - this->length / SAFETY_MARGIN_DIVISOR;
 		return;
 	}
 	if (result == WriteResult::NotDone) return;
-	this->doubtful = true;
+	this->outcome_unknown = true;
 	this->pending_nonce = result == WriteResult::Unknown ? written.nonce : 0;
-	this->pending_sent = sent_at;
+	this->pending_sent_at = sent_at;
 }
 
 } // namespace cottonspool
--- a/src/decision/lease.h
+++ b/src/decision/lease.h
@@ -72,21 +72,21 @@
 	}
 
 private:
-	static constexpr int RENEW_PARTS = 3;   ///< Renewals in a lease's length.
-	static constexpr int MARGIN_PARTS = 10; ///< Part of the length that the holder leaves unused at the end.
-
-	std::string holder;         ///< This instance and its incarnation.
-	Duration length;            ///< Length of the lease.
-	LeaseRow row;               ///< Row as last seen.
-	bool seen = false;          ///< A row, or its absence, was seen.
-	bool doubtful = false;      ///< The last write's result is unknown: read before anything else.
-	TimePoint row_since;        ///< Since when the row has been seen unchanged.
-	TimePoint last_look;        ///< When the row was last read or written.
-	TimePoint held_until;       ///< End of the lease, less the margin.
-	TimePoint held_since;       ///< When it was won.
-	uint64_t pending_nonce = 0; ///< Nonce of a write in doubt.
-	TimePoint pending_sent;     ///< When the write in doubt was sent.
-	bool resigned = false;      ///< No longer wanted.
+	static constexpr int RENEWALS_PER_LEASE = 3;     ///< Renewals in a lease's length.
+	static constexpr int SAFETY_MARGIN_DIVISOR = 10; ///< Part of the length that the holder leaves unused at the end.
+
+	std::string holder;           ///< This instance and its incarnation.
+	Duration length;              ///< Length of the lease.
+	LeaseRow row;                 ///< Row as last seen.
+	bool has_seen_row = false;    ///< A row, or its absence, was seen.
+	bool outcome_unknown = false; ///< The last write's result is unknown: read before anything else.
+	TimePoint row_since;          ///< Since when the row has been seen unchanged.
+	TimePoint last_access;        ///< When the row was last read or written.
+	TimePoint held_until;         ///< End of the lease, less the margin.
+	TimePoint held_since;         ///< When it was won.
+	uint64_t pending_nonce = 0;   ///< Nonce of a write in doubt.
+	TimePoint pending_sent_at;    ///< When the write in doubt was sent.
+	bool resigned = false;        ///< No longer wanted.
 };
 
 } // namespace cottonspool
--- a/src/decision/limit_leases.cpp
+++ b/src/decision/limit_leases.cpp
@@ -10,7 +10,7 @@
 uint32_t LimitLeases::Borrower::Count(TimePoint now) const
 {
 	uint32_t count = 0;
-	for (const Reserved &part : this->reserved) {
+	for (const Reservation &part : this->reserved) {
 		if (now < part.until) count = std::max(count, part.count);
 	}
 	return count;
@@ -23,50 +23,51 @@
 	return lent;
 }
 
-uint32_t LimitLeases::Lend(const std::string &name, uint32_t wanted, LeaseSource source, TimePoint now)
+uint32_t LimitLeases::Lend(const std::string &name, uint32_t wanted, LendableShare source, TimePoint now)
 {
-	static constexpr Duration WANTED_LATELY = 3 * LEASE_ASK_PERIOD; ///< Who has not asked for longer wants nothing any more.
+	static constexpr Duration REQUEST_EXPIRY = 3 * LEASE_REQUEST_INTERVAL; ///< Who has not asked for longer wants nothing any more.
 	std::erase_if(this->borrowers,
-	              [&](const auto &entry) { return now - entry.second.asked > WANTED_LATELY && entry.second.Count(now) == 0; });
+	              [&](const auto &entry) { return now - entry.second.last_requested > REQUEST_EXPIRY && entry.second.Count(now) == 0; });
 	Borrower &borrower = this->borrowers[name];
 	borrower.wanted = wanted;
-	borrower.asked = now;
-	std::erase_if(borrower.reserved, [&](const Reserved &part) { return now >= part.until; });
-	uint64_t all_wanted = source.own;
+	borrower.last_requested = now;
+	std::erase_if(borrower.reserved, [&](const Reservation &part) { return now >= part.until; });
+	uint64_t all_wanted = source.own_demand;
 	for (const auto &[other, each] : this->borrowers) {
-		if (now - each.asked <= WANTED_LATELY) all_wanted += each.wanted;
+		if (now - each.last_requested <= REQUEST_EXPIRY) all_wanted += each.wanted;
 	}
 	// Where all want more than there is, each gets its part of it; one that gets a part at all gets a request.
 	uint64_t fair = wanted;
-	if (all_wanted > source.most) fair = std::max<uint64_t>(1, uint64_t{source.most} * wanted / all_wanted);
+	if (all_wanted > source.max_requests) fair = std::max<uint64_t>(1, uint64_t{source.max_requests} * wanted / all_wanted);
 	uint32_t used = this->Lent(now) + source.sent;
-	uint32_t free = source.most - std::min(source.most, used);
+	uint32_t free = source.max_requests - std::min(source.max_requests, used);
 	// What it may have used already counts once, whether it is lent again or not.
 	auto granted = static_cast<uint32_t>(std::min<uint64_t>({wanted, fair, uint64_t{borrower.Count(now)} + free}));
 	if (granted > 0) borrower.reserved.push_back({granted, now + LEASE_TERM + source.window});
 	return granted;
 }
 
-std::vector<LeaseAsk> LimitLeases::Ask(const std::vector<std::string> &owners, uint32_t demand, uint32_t allowance, TimePoint now)
+std::vector<LeaseRequest> LimitLeases::BuildRequests(const std::vector<std::string> &owners, uint32_t demand, uint32_t allowance,
+                                                     TimePoint now)
 {
-	std::vector<LeaseAsk> asks;
-	if (owners.empty()) return asks;
+	std::vector<LeaseRequest> requests;
+	if (owners.empty()) return requests;
 	auto count = static_cast<uint32_t>(owners.size());
-	uint32_t more = IsShort(demand, allowance) ? (demand - allowance + count - 1) / count : 0;
+	uint32_t more = NeedsMore(demand, allowance) ? (demand - allowance + count - 1) / count : 0;
 	uint32_t less = demand < allowance ? (allowance - demand) / count : 0;
 	for (const std::string &owner : owners) {
 		Lease &lease = this->borrowed[owner];
-		if (lease.number != 0 && now - lease.asked < LEASE_ASK_PERIOD) continue;
+		if (lease.number != 0 && now - lease.last_requested < LEASE_REQUEST_INTERVAL) continue;
 		uint32_t held = now < lease.until ? lease.count : 0;
 		uint32_t wanted = held + more - std::min(held + more, less);
 		if (wanted == 0) continue;
 		lease.number = ++this->last_number;
-		lease.asked = now;
-		std::erase_if(lease.open, [&](const auto &ask) { return now - ask.second >= LEASE_TERM; });
-		lease.open[lease.number] = now;
-		asks.push_back({owner, lease.number, wanted});
+		lease.last_requested = now;
+		std::erase_if(lease.pending, [&](const auto &request) { return now - request.second >= LEASE_TERM; });
+		lease.pending[lease.number] = now;
+		requests.push_back({owner, lease.number, wanted});
 	}
-	return asks;
+	return requests;
 }
 
 void LimitLeases::OnGranted(const std::string &owner, uint64_t number, uint32_t granted)
@@ -74,11 +75,11 @@
 	auto found = this->borrowed.find(owner);
 	if (found == this->borrowed.end()) return;
 	Lease &lease = found->second;
-	auto ask = lease.open.find(number);
-	if (ask == lease.open.end() || number < lease.answered) return;
+	auto request = lease.pending.find(number);
+	if (request == lease.pending.end() || number < lease.last_answered) return;
 	// It was granted after it was asked for, so it ends here before it does there.
-	lease = {granted, ask->second + LEASE_TERM, number, lease.number, lease.asked, std::move(lease.open)};
-	std::erase_if(lease.open, [&](const auto &entry) { return entry.first <= number; });
+	lease = {granted, request->second + LEASE_TERM, number, lease.number, lease.last_requested, std::move(lease.pending)};
+	std::erase_if(lease.pending, [&](const auto &entry) { return entry.first <= number; });
 }
 
 uint32_t LimitLeases::Borrowed(TimePoint now) const
--- a/src/decision/limit_leases.h
+++ b/src/decision/limit_leases.h
@@ -16,18 +16,18 @@
 constexpr Duration LEASE_TERM = std::chrono::seconds(2);
 
 /** Time between asks for the same part. */
-constexpr Duration LEASE_ASK_PERIOD = std::chrono::milliseconds(500);
+constexpr Duration LEASE_REQUEST_INTERVAL = std::chrono::milliseconds(500);
 
 /** What an instance has of which it may lend. */
-struct LeaseSource {
-	uint32_t most = 0;  ///< Its own share: requests in a window.
-	uint32_t sent = 0;  ///< Requests that it has sent itself in the last window.
-	uint32_t own = 0;   ///< Requests in a window that its own callers could use.
-	Duration window{0}; ///< Length of a window.
+struct LendableShare {
+	uint32_t max_requests = 0; ///< Its own share: requests in a window.
+	uint32_t sent = 0;         ///< Requests that it has sent itself in the last window.
+	uint32_t own_demand = 0;   ///< Requests in a window that its own callers could use.
+	Duration window{0};        ///< Length of a window.
 };
 
 /** An instance asks another one for a part of its share. */
-struct LeaseAsk {
+struct LeaseRequest {
 	std::string owner;   ///< Who is asked.
 	uint64_t number = 0; ///< Number of the ask.
 	uint32_t wanted = 0; ///< Requests in a window.
@@ -41,7 +41,7 @@
 class LimitLeases {
 public:
 	/** \a borrower wants \a wanted requests in a window of what \a source is. @return What it gets for a term. */
-	uint32_t Lend(const std::string &borrower, uint32_t wanted, LeaseSource source, TimePoint now);
+	uint32_t Lend(const std::string &borrower, uint32_t wanted, LendableShare source, TimePoint now);
 
 	/** @return Requests in a window that others may send, or may have sent, of this instance's share. */
 	uint32_t Lent(TimePoint now) const;
@@ -50,10 +50,10 @@
 	 * @return Whether \a demand is so much more than \a allowance that more is asked for. Where callers are spread evenly each has now and
 	 * then some more than its share; what it borrowed then would lie idle at the owner for a window longer.
 	 */
-	static bool IsShort(uint32_t demand, uint32_t allowance) { return demand > 2 * allowance; }
+	static bool NeedsMore(uint32_t demand, uint32_t allowance) { return demand > 2 * allowance; }
 
 	/** @return What to ask \a owners for, if \a demand requests in a window could be used and \a allowance may be sent. */
-	std::vector<LeaseAsk> Ask(const std::vector<std::string> &owners, uint32_t demand, uint32_t allowance, TimePoint now);
+	std::vector<LeaseRequest> BuildRequests(const std::vector<std::string> &owners, uint32_t demand, uint32_t allowance, TimePoint now);
 
 	/** \a owner has answered ask \a number with \a granted. An answer to an earlier ask than the last one answered changes nothing. */
 	void OnGranted(const std::string &owner, uint64_t number, uint32_t granted);
@@ -66,16 +66,16 @@
 
 private:
 	/** A part that counts as used. */
-	struct Reserved {
+	struct Reservation {
 		uint32_t count = 0; ///< Requests in a window.
 		TimePoint until;    ///< A window after the lease has ended.
 	};
 
 	/** One that borrows. */
 	struct Borrower {
-		std::vector<Reserved> reserved; ///< Parts that it may use or have used; they overlap, so the largest counts.
-		uint32_t wanted = 0;            ///< What it wanted last.
-		TimePoint asked;                ///< When.
+		std::vector<Reservation> reserved; ///< Parts that it may use or have used; they overlap, so the largest counts.
+		uint32_t wanted = 0;               ///< What it wanted last.
+		TimePoint last_requested;          ///< When.
 
 		/** @return Requests in a window that count as used by it. */
 		uint32_t Count(TimePoint now) const;
@@ -83,12 +83,12 @@
 
 	/** What is borrowed of one owner. */
 	struct Lease {
-		uint32_t count = 0;                 ///< Requests in a window.
-		TimePoint until;                    ///< End.
-		uint64_t answered = 0;              ///< Number of the ask that was answered last.
-		uint64_t number = 0;                ///< Number of the last ask.
-		TimePoint asked;                    ///< When it was made.
-		std::map<uint64_t, TimePoint> open; ///< Asks not yet answered, with when they were made.
+		uint32_t count = 0;                    ///< Requests in a window.
+		TimePoint until;                       ///< End.
+		uint64_t last_answered = 0;            ///< Number of the ask that was answered last.
+		uint64_t number = 0;                   ///< Number of the last ask.
+		TimePoint last_requested;              ///< When it was made.
+		std::map<uint64_t, TimePoint> pending; ///< Asks not yet answered, with when they were made.
 	};
 
 	std::map<std::string, Borrower> borrowers; ///< Those that borrow of this instance.
--- a/src/decision/membership.cpp
+++ b/src/decision/membership.cpp
@@ -8,7 +8,7 @@
 
 namespace cottonspool {
 
-bool Membership::OnHeard(const MemberInfo &info, TimePoint now)
+bool Membership::OnMemberInfo(const MemberInfo &info, TimePoint now)
 {
 	if (info.name == this->self.name) return false;
 	auto [found, added] = this->members.try_emplace(info.name, Member{info, now});
@@ -20,37 +20,37 @@
 	return false;
 }
 
-void Membership::AddNews(size_t count, bool own_hall, std::string *last, std::vector<MemberInfo> *news) const
+void Membership::AddGossip(size_t count, bool own_hall, std::string *last, std::vector<MemberInfo> *gossip) const
 {
 	auto it = this->members.upper_bound(*last);
 	for (size_t seen = 0; seen < this->members.size() && count > 0; seen++, ++it) {
 		if (it == this->members.end()) it = this->members.begin();
 		if ((it->second.info.hall == this->self.hall) != own_hall) continue;
-		news->push_back(it->second.info);
+		gossip->push_back(it->second.info);
 		*last = it->first;
 		count--;
 	}
 }
 
-std::vector<MemberInfo> Membership::NextNews(size_t count)
+std::vector<MemberInfo> Membership::NextGossip(size_t count)
 {
-	std::vector<MemberInfo> news{this->self};
-	size_t others = this->members.size() <= SMALL_SYSTEM ? count / 2 : 1;
-	this->AddNews(count - others, true, &this->last_told, &news);
-	this->AddNews(count + 1 - news.size(), false, &this->last_told_other, &news);
-	return news;
+	std::vector<MemberInfo> gossip{this->self};
+	size_t others = this->members.size() <= MAX_FULL_MESH ? count / 2 : 1;
+	this->AddGossip(count - others, true, &this->last_sent_local, &gossip);
+	this->AddGossip(count + 1 - gossip.size(), false, &this->last_sent_remote, &gossip);
+	return gossip;
 }
 
 bool Membership::SharesTargets(const MemberInfo &member) const
 {
-	return this->members.size() <= SMALL_SYSTEM || member.hall == this->self.hall;
+	return this->members.size() <= MAX_FULL_MESH || member.hall == this->self.hall;
 }
 
 std::vector<MemberInfo> Membership::Live(TimePoint now) const
 {
 	std::vector<MemberInfo> live{this->self};
 	for (const auto &[name, member] : this->members) {
-		if (now - member.heard <= this->Timeout()) live.push_back(member.info);
+		if (now - member.last_heard <= this->Timeout()) live.push_back(member.info);
 	}
 	std::sort(live.begin(), live.end(), [](const MemberInfo &a, const MemberInfo &b) { return a.name < b.name; });
 	return live;
@@ -68,16 +68,16 @@
 	return {rank, count};
 }
 
-std::vector<MemberInfo> Membership::LinkTargets(TimePoint now) const
+std::vector<MemberInfo> Membership::GossipPeers(TimePoint now) const
 {
 	std::vector<MemberInfo> live = this->Live(now);
 	std::erase_if(live, [&](const MemberInfo &member) { return member.name == this->self.name; });
-	if (live.size() <= SMALL_SYSTEM) return live;
+	if (live.size() <= MAX_FULL_MESH) return live;
 	std::map<std::string, std::vector<std::string>> halls;
 	for (const MemberInfo &member : live) halls[member.hall].push_back(member.name);
 	std::set<std::string> chosen;
 	for (const auto &[hall, names] : halls) {
-		size_t count = hall == this->self.hall ? LINKS_IN_HALL : LINKS_TO_HALL;
+		size_t count = hall == this->self.hall ? LOCAL_HALL_LINKS : REMOTE_HALL_LINKS;
 		for (std::string &name : RendezvousChoice(this->self.name, names, count)) chosen.insert(std::move(name));
 	}
 	std::erase_if(live, [&](const MemberInfo &member) { return !chosen.contains(member.name); });
@@ -90,21 +90,22 @@
 	return static_cast<size_t>(std::count_if(this->members.begin(), this->members.end(), shares));
 }
 
-void Membership::SetPace(Duration period, size_t links, size_t news)
+void Membership::SetGossipPace(Duration period, size_t links, size_t gossip)
 {
-	double told = static_cast<double>(std::max<size_t>(1, links * news));
+	double told = static_cast<double>(std::max<size_t>(1, links * gossip));
 	double rounds = 1 + static_cast<double>(this->HallSize()) / told;
-	this->spread_timeout = FromSeconds(Seconds(period) * ROUNDS_OF_SILENCE * rounds);
+	this->gossip_timeout = FromSeconds(Seconds(period) * TIMEOUT_ROUNDS * rounds);
 }
 
 void Membership::Expire(TimePoint now)
 {
-	std::erase_if(this->members, [&](const auto &entry) { return now - entry.second.heard > EXPIRE_TIMEOUTS * this->Timeout(); });
+	std::erase_if(this->members,
+	              [&](const auto &entry) { return now - entry.second.last_heard > MEMBER_EXPIRY_TIMEOUTS * this->Timeout(); });
 }
 
-void Membership::RemoveLeaving(const std::string &target)
+void Membership::RemoveDraining(const std::string &target)
 {
-	std::erase_if(this->leaving, [&](const LeavingTarget &entry) { return entry.target == target; });
+	std::erase_if(this->draining, [&](const DrainingTarget &entry) { return entry.target == target; });
 }
 
 } // namespace cottonspool
--- a/src/decision/overload_tracker.h
+++ b/src/decision/overload_tracker.h
@@ -15,17 +15,17 @@
  * the time in which the queue drains, a few tenths of a second, comes back into the same load and is refused for good.
  * Longer helps further callers in long loads, but all wait for it after short ones.
  */
-class RefusalSpan {
+class OverloadTracker {
 public:
 	/** A call is refused at \a now. */
-	void OnRefused(TimePoint now)
+	void OnRejected(TimePoint now)
 	{
-		if (now - this->last > QUIET) this->first = now;
+		if (now - this->last > QUIET_PERIOD) this->first = now;
 		this->last = now;
 	}
 
 	/** @return For how long calls have been refused without a quiet second. */
-	Duration Age(TimePoint now) const { return now - this->last > QUIET ? Duration(0) : now - this->first; }
+	Duration Age(TimePoint now) const { return now - this->last > QUIET_PERIOD ? Duration(0) : now - this->first; }
 
 	/**
 	 * @param drain Time in which what waits now is expected to be sent.
@@ -35,7 +35,7 @@
 	Duration RetryAfter(Duration drain, uint64_t random, TimePoint now) const;
 
 private:
-	static constexpr Duration QUIET = std::chrono::seconds(1); ///< Time without refusals after which the load is over.
+	static constexpr Duration QUIET_PERIOD = std::chrono::seconds(1); ///< Time without refusals after which the load is over.
 
 	TimePoint first; ///< First refusal of the present load.
 	TimePoint last;  ///< Last one.
--- a/src/decision/peer_directory.h
+++ b/src/decision/peer_directory.h
@@ -14,10 +14,10 @@
 namespace cottonspool {
 
 /** Key by which all choose the same instance of a hall to pass news on there. */
-inline constexpr const char *RELAY_KEY = "relay";
+inline constexpr const char *FORWARDER_KEY = "relay";
 
 /** Where an instance is. */
-struct PeerPlace {
+struct PeerLocation {
 	std::string address;  ///< IP:PORT for peers.
 	std::string hall;     ///< Data hall.
 	double link_mbps = 0; ///< Speed of its link, in Mbit/s; 0 if unknown.
@@ -32,17 +32,17 @@
 
 /** Times of dialling. */
 struct DialLimits {
-	Duration longest_dial = std::chrono::seconds(1); ///< Time that a dial may take.
-	Duration least = std::chrono::seconds(1);        ///< Time from one dial of a peer to the next; doubles.
-	Duration most = std::chrono::seconds(8);         ///< Longest such time.
-	size_t mesh_most = 64; ///< Instances up to which links may cross halls: each dials each, so that 295 of them would open
-	                       ///< 87,000 (by arithmetic).
+	Duration dial_timeout = std::chrono::seconds(1);        ///< Time that a dial may take.
+	Duration min_redial_interval = std::chrono::seconds(1); ///< Time from one dial of a peer to the next; doubles.
+	Duration max_redial_interval = std::chrono::seconds(8); ///< Longest such time.
+	size_t max_mesh_instances = 64; ///< Instances up to which links may cross halls: each dials each, so that 295 of them would open
+	                                ///< 87,000 (by arithmetic).
 };
 
 /** Links that an instance keeps. */
 struct WantedLinks {
-	std::vector<std::string> peers;  ///< Addresses of those with which all news are exchanged.
-	std::vector<std::string> relays; ///< Addresses in other halls, one each, which pass on there what is read of the store for all.
+	std::vector<std::string> peers;      ///< Addresses of those with which all news are exchanged.
+	std::vector<std::string> forwarders; ///< Addresses in other halls, one each, which pass on there what is read of the store for all.
 };
 
 /**
@@ -56,11 +56,11 @@
 	{
 	}
 
-	/** \a peer is at \a place, says the list of all or the peer itself. */
-	void Note(const std::string &peer, const PeerPlace &place);
+	/** \a peer is at \a location, says the list of all or the peer itself. */
+	void Update(const std::string &peer, const PeerLocation &location);
 
-	/** \a peer has told by itself that it is at \a place: it lives, so it is dialled without waiting. */
-	void NoteAlive(const std::string &peer, const PeerPlace &place);
+	/** \a peer has told by itself that it is at \a location: it lives, so it is dialled without waiting. */
+	void OnPeerAlive(const std::string &peer, const PeerLocation &location);
 
 	/** \a peer has left. */
 	void Remove(const std::string &peer);
@@ -70,14 +70,14 @@
 
 	/**
 	 * The list was read as of \a version: find out anew who is in the own cell; see CellDivision.
-	 * @param whole It was read whole; otherwise some of it has changed.
-	 * @param growing It is not complete yet.
+	 * @param complete It was read whole; otherwise some of it has changed.
+	 * @param bootstrapping It is not complete yet.
 	 * @return Whether the number of cells has changed.
 	 */
-	bool Divide(bool whole, StoreVersion version, bool growing);
+	bool Divide(bool complete, StoreVersion version, bool bootstrapping);
 
-	/** Another instance divides the fleet as \a told says. @return Whether the number of cells has changed here. */
-	bool OnToldCells(const CellCount &told);
+	/** Another instance divides the fleet as \a peer_cells says. @return Whether the number of cells has changed here. */
+	bool OnPeerCellCount(const CellCount &peer_cells);
 
 	/** @return Into how many cells the fleet is divided. */
 	const CellCount &Cells() const { return this->division.Count(); }
@@ -89,16 +89,16 @@
 	void SetHallOnly(bool only) { this->hall_only = only; }
 
 	/** @return Whether news are exchanged inside the own hall only. */
-	bool IsHallOnly() const { return this->hall_only || this->peers.size() >= this->limits.mesh_most; }
+	bool IsHallOnly() const { return this->hall_only || this->peers.size() >= this->limits.max_mesh_instances; }
 
-	using StateOf = std::function<LinkState(const std::string &)>;
+	using LinkStateOf = std::function<LinkState(const std::string &)>;
 
 	/**
 	 * To be called at each change and some times a second.
-	 * @param reads_for_hall This instance is the first of its hall that reads a table: it keeps a link to each other hall.
+	 * @param is_hall_reader This instance is the first of its hall that reads a table: it keeps a link to each other hall.
 	 * @return Addresses to which links are kept or dialled now.
 	 */
-	WantedLinks Wanted(const StateOf &state_of, bool reads_for_hall, TimePoint now);
+	WantedLinks Wanted(const LinkStateOf &link_state_of, bool is_hall_reader, TimePoint now);
 
 	/** @return Data halls with instances of the own cell, the own hall included. */
 	std::vector<std::string> Halls() const;
@@ -107,39 +107,39 @@
 	std::vector<std::string> Names() const;
 
 	/** @return Where \a peer is; null if it is not known, or in another cell. */
-	const PeerPlace *Find(const std::string &peer) const;
+	const PeerLocation *Find(const std::string &peer) const;
 
 	/** @return Other instances known, those of other cells included. */
-	size_t Size() const { return this->peers.size() + this->others.size(); }
+	size_t Size() const { return this->peers.size() + this->other_cells.size(); }
 
 	/** @return Those of them with which news are exchanged. */
-	size_t Exchanging() const;
+	size_t ExchangePeerCount() const;
 
 	/** @return Other instances of the own cell. */
-	size_t InCell() const { return this->peers.size(); }
+	size_t CellPeerCount() const { return this->peers.size(); }
 
 private:
 	/** One other instance. */
 	struct Peer {
-		PeerPlace place;      ///< Where it is.
-		TimePoint next_dial;  ///< When it is dialled next.
-		TimePoint dial_until; ///< When the dial under way is given up.
-		Duration pause{0};    ///< Pause after the last dial.
+		PeerLocation location;    ///< Where it is.
+		TimePoint next_dial;      ///< When it is dialled next.
+		TimePoint dial_until;     ///< When the dial under way is given up.
+		Duration redial_delay{0}; ///< Pause after the last dial.
 	};
 
-	void Regroup();
+	void ReassignCells();
 	/** @return Whether the link to \a peer is to be kept or dialled now. */
 	bool KeepOrDial(Peer &peer, LinkState state, TimePoint now) const;
 	/** @return The instance of \a hall that passes news on there; null while none is to be dialled. */
-	Peer *RelayIn(const std::string &hall, const StateOf &state_of, TimePoint now);
-
-	std::string own_name;                    ///< Name of this instance.
-	std::string own_hall;                    ///< Data hall it stands in.
-	DialLimits limits;                       ///< Times.
-	CellDivision division;                   ///< Cells.
-	std::map<std::string, Peer> peers;       ///< Other instances of the own cell by name.
-	std::map<std::string, PeerPlace> others; ///< Those of other cells.
-	bool hall_only = true;                   ///< News go to the own hall only.
+	Peer *ForwarderIn(const std::string &hall, const LinkStateOf &link_state_of, TimePoint now);
+
+	std::string own_name;                            ///< Name of this instance.
+	std::string own_hall;                            ///< Data hall it stands in.
+	DialLimits limits;                               ///< Times.
+	CellDivision division;                           ///< Cells.
+	std::map<std::string, Peer> peers;               ///< Other instances of the own cell by name.
+	std::map<std::string, PeerLocation> other_cells; ///< Those of other cells.
+	bool hall_only = true;                           ///< News go to the own hall only.
 };
 
 } // namespace cottonspool
--- a/src/decision/peer_load.cpp
+++ b/src/decision/peer_load.cpp
@@ -10,7 +10,7 @@
 {
 	auto found = peer.calls.find(call);
 	if (found == peer.calls.end()) return;
-	this->targets.OnForeignEnded(found->second.target, found->second.id, now);
+	this->targets.OnPeerCallEnded(found->second.target, found->second.id, now);
 	peer.calls.erase(found);
 }
 
@@ -19,26 +19,26 @@
 	while (!peer.calls.empty()) this->Remove(peer, peer.calls.begin()->first, now);
 }
 
-void PeerLoad::Enter(Peer &peer, const CallNews &news, TimePoint now)
+void PeerLoad::ApplyUpdate(Peer &peer, const CallUpdate &update, TimePoint now)
 {
-	std::optional<TargetNumber> target = this->targets.Find(news.target);
-	if (!target) return this->Remove(peer, news.call, now);
-	auto known = peer.calls.find(news.call);
+	std::optional<TargetNumber> target = this->targets.Find(update.target);
+	if (!target) return this->Remove(peer, update.call, now);
+	auto known = peer.calls.find(update.call);
 	bool moved = known != peer.calls.end() && known->second.target != *target;
 	if (moved || known == peer.calls.end()) {
-		this->Remove(peer, news.call, now);
+		this->Remove(peer, update.call, now);
 		CallSpec spec;
 		spec.id = CallId{this->next_id++};
-		spec.model = this->pools.Intern(news.pool);
-		spec.service_class = news.service_class;
-		spec.prompt_tokens = news.prompt_tokens;
-		spec.max_tokens = news.max_tokens;
-		known = peer.calls.emplace(news.call, PeerCall{spec.id, *target, news.generated}).first;
-		this->targets.OnForeignSent(*target, spec, now, news.generated);
+		spec.model = this->pools.Intern(update.pool);
+		spec.service_class = update.service_class;
+		spec.prompt_tokens = update.prompt_tokens;
+		spec.max_tokens = update.max_tokens;
+		known = peer.calls.emplace(update.call, PeerCall{spec.id, *target, update.generated}).first;
+		this->targets.OnPeerCallSent(*target, spec, now, update.generated);
 	}
-	if (news.generated <= known->second.generated) return;
-	this->targets.OnForeignToken(*target, known->second.id, now, news.generated - known->second.generated);
-	known->second.generated = news.generated;
+	if (update.generated <= known->second.generated) return;
+	this->targets.OnPeerCallToken(*target, known->second.id, now, update.generated - known->second.generated);
+	known->second.generated = update.generated;
 }
 
 void PeerLoad::OnMessage(const LoadMessage &message, TimePoint now)
@@ -47,17 +47,17 @@
 	if (message.incarnation < peer.incarnation) return;
 	if (message.incarnation > peer.incarnation) this->RemoveAll(peer, now);
 	peer.incarnation = message.incarnation;
-	peer.heard = now;
-	if (message.whole) {
+	peer.last_heard = now;
+	if (message.full) {
 		std::map<uint64_t, PeerCall> before = peer.calls;
-		for (const CallNews &news : message.calls) before.erase(news.call);
+		for (const CallUpdate &update : message.calls) before.erase(update.call);
 		for (const auto &[call, entry] : before) this->Remove(peer, call, now);
 	}
-	for (const CallNews &news : message.calls) {
-		if (news.kind == CallNews::Kind::Ended) {
-			this->Remove(peer, news.call, now);
+	for (const CallUpdate &update : message.calls) {
+		if (update.kind == CallUpdate::Kind::Ended) {
+			this->Remove(peer, update.call, now);
 		} else {
-			this->Enter(peer, news, now);
+			this->ApplyUpdate(peer, update, now);
 		}
 	}
 }
@@ -65,7 +65,7 @@
 void PeerLoad::OnTick(TimePoint now)
 {
 	for (auto it = this->peers.begin(); it != this->peers.end();) {
-		bool silent = now - it->second.heard > this->silence;
+		bool silent = now - it->second.last_heard > this->timeout;
 		if (silent) this->RemoveAll(it->second, now);
 		it = silent ? this->peers.erase(it) : std::next(it);
 	}
--- a/src/decision/peer_load.h
+++ b/src/decision/peer_load.h
@@ -10,7 +10,7 @@
 namespace cottonspool {
 
 /** News of one call of an instance. */
-struct CallNews {
+struct CallUpdate {
 	enum class Kind : uint8_t {
 		At,    ///< It is at a target: new there, moved there, or further on.
 		Ended, ///< It has ended.
@@ -26,18 +26,18 @@
 };
 
 /** A target's report that another instance has read. */
-struct ReportNews {
+struct ReportUpdate {
 	std::string target; ///< Target.
 	LoadReport report;  ///< Report, with the target's own notice; its number and age are the receiver's to set.
 };
 
 /** What an instance tells its peers. */
 struct LoadMessage {
-	std::string instance;            ///< Who tells it.
-	uint64_t incarnation = 0;        ///< Its start.
-	bool whole = false;              ///< All its calls are listed: others of it have ended.
-	std::vector<CallNews> calls;     ///< Calls.
-	std::vector<ReportNews> reports; ///< Reports that it has read.
+	std::string instance;              ///< Who tells it.
+	uint64_t incarnation = 0;          ///< Its start.
+	bool full = false;                 ///< All its calls are listed: others of it have ended.
+	std::vector<CallUpdate> calls;     ///< Calls.
+	std::vector<ReportUpdate> reports; ///< Reports that it has read.
 };
 
 /**
@@ -46,10 +46,10 @@
  */
 class PeerLoad {
 public:
-	PeerLoad(TargetTable &targets, NameTable<ModelNumber> &pools, Duration silence) : targets(targets), pools(pools), silence(silence) {}
+	PeerLoad(TargetTable &targets, NameTable<ModelNumber> &pools, Duration timeout) : targets(targets), pools(pools), timeout(timeout) {}
 
 	/** A peer is forgotten after \a longest of silence from now on. */
-	void SetSilence(Duration longest) { this->silence = longest; }
+	void SetTimeout(Duration longest) { this->timeout = longest; }
 
 	/** Take in what a peer tells. Reports are left to the caller. */
 	void OnMessage(const LoadMessage &message, TimePoint now);
@@ -74,21 +74,21 @@
 	/** One peer. */
 	struct Peer {
 		uint64_t incarnation = 0;           ///< Its start.
-		TimePoint heard;                    ///< When it was last heard.
+		TimePoint last_heard;               ///< When it was last heard.
 		std::map<uint64_t, PeerCall> calls; ///< Its calls in flight.
 	};
 
-	void Enter(Peer &peer, const CallNews &news, TimePoint now);
+	void ApplyUpdate(Peer &peer, const CallUpdate &update, TimePoint now);
 	void Remove(Peer &peer, uint64_t call, TimePoint now);
 	void RemoveAll(Peer &peer, TimePoint now);
 
-	static constexpr uint64_t FIRST_ID = 1ULL << 62; ///< Numbers of own calls stay below.
+	static constexpr uint64_t FIRST_PEER_CALL_ID = 1ULL << 62; ///< Numbers of own calls stay below.
 
-	TargetTable &targets;              ///< Targets.
-	NameTable<ModelNumber> &pools;     ///< Numbers of models and services.
-	Duration silence;                  ///< Silence after which a peer is forgotten.
-	std::map<std::string, Peer> peers; ///< Peers by name.
-	uint64_t next_id = FIRST_ID;       ///< Next number in the table.
+	TargetTable &targets;                  ///< Targets.
+	NameTable<ModelNumber> &pools;         ///< Numbers of models and services.
+	Duration timeout;                      ///< Silence after which a peer is forgotten.
+	std::map<std::string, Peer> peers;     ///< Peers by name.
+	uint64_t next_id = FIRST_PEER_CALL_ID; ///< Next number in the table.
 };
 
 } // namespace cottonspool
--- a/src/decision/placement_table.cpp
+++ b/src/decision/placement_table.cpp
@@ -9,7 +9,7 @@
 
 /** Time for which a hall stays emptied that a store has forgotten: operators write again within seconds of its return, and a hall too many
  *  that is empty costs less than one that is used while they empty it. */
-static constexpr Duration FORGOTTEN_HOLDS = std::chrono::seconds(10);
+static constexpr Duration RESTORE_HOLD = std::chrono::seconds(10);
 
 bool MayRunIn(const CallSpec &call, const std::string &hall)
 {
@@ -18,45 +18,46 @@
 	                   [&](const HallPreference &preference) { return preference.hall == hall && preference.weight > 0; });
 }
 
-void PlaceTable::SetListed(const std::string &hall, bool is_listed)
+void PlacementTable::SetEvacuated(const std::string &hall, bool is_listed)
 {
 	// Either way it is the operators' word of now.
-	this->forgotten.erase(hall);
-	if (is_listed) this->listed.insert(hall);
-	if (!is_listed) this->listed.erase(hall);
+	this->held_after_restore.erase(hall);
+	if (is_listed) this->evacuated.insert(hall);
+	if (!is_listed) this->evacuated.erase(hall);
 }
 
-void PlaceTable::SetAllListed(const std::set<std::string> &halls)
+void PlacementTable::SetAllEvacuated(const std::set<std::string> &halls)
 {
-	for (const std::string &hall : halls) this->forgotten.erase(hall);
-	this->listed = halls;
+	for (const std::string &hall : halls) this->held_after_restore.erase(hall);
+	this->evacuated = halls;
 }
 
-void PlaceTable::OnOtherStore(TimePoint now)
+void PlacementTable::OnStoreRestored(TimePoint now)
 {
-	for (const std::string &hall : this->Emptied(now)) this->forgotten[hall] = now + FORGOTTEN_HOLDS;
+	for (const std::string &hall : this->Evacuated(now)) this->held_after_restore[hall] = now + RESTORE_HOLD;
 }
 
-std::set<std::string> PlaceTable::Emptied(TimePoint now) const
+std::set<std::string> PlacementTable::Evacuated(TimePoint now) const
 {
-	std::set<std::string> halls = this->listed;
-	for (const auto &[hall, until] : this->forgotten) {
+	std::set<std::string> halls = this->evacuated;
+	for (const auto &[hall, until] : this->held_after_restore) {
 		if (now < until) halls.insert(hall);
 	}
 	return halls;
 }
 
-bool PlaceTable::IsHome(const std::vector<std::string> &homes, const std::string &region) const
+bool PlacementTable::IsAllowedRegion(const std::vector<std::string> &home_regions, const std::string &region) const
 {
-	return homes.empty() || std::find(homes.begin(), homes.end(), region) != homes.end();
+	return home_regions.empty() || std::find(home_regions.begin(), home_regions.end(), region) != home_regions.end();
 }
 
-std::vector<HallPreference> PlaceTable::HallsFor(const Route &route, const ClientAccount *account) const
+std::vector<HallPreference> PlacementTable::HallsFor(const Route &route, const ClientAccount *account) const
 {
 	std::vector<HallPreference> halls;
 	auto add = [&](const std::string &hall, const std::string &region) {
-		bool home = this->IsHome(route.homes, region) && (account == nullptr || this->IsHome(account->homes, region));
-		if (home) halls.push_back({hall, 1});
+		bool is_allowed = this->IsAllowedRegion(route.home_regions, region) &&
+		                  (account == nullptr || this->IsAllowedRegion(account->home_regions, region));
+		if (is_allowed) halls.push_back({hall, 1});
 	};
 	auto own = this->regions.find(this->own_hall);
 	add(this->own_hall, own == this->regions.end() ? std::string() : own->second);
--- a/src/decision/placement_table.h
+++ b/src/decision/placement_table.h
@@ -18,9 +18,9 @@
  * Data halls, the regions they lie in, and those that the operators have emptied: their targets get nothing new. A store that comes back
  * from a copy may lack what they had written; they write it again, and until then, for a bounded time, it holds all the same.
  */
-class PlaceTable {
+class PlacementTable {
 public:
-	PlaceTable(std::string own_hall, std::map<std::string, std::string> regions)
+	PlacementTable(std::string own_hall, std::map<std::string, std::string> regions)
 	    : own_hall(std::move(own_hall)), regions(std::move(regions))
 	{
 	}
@@ -29,16 +29,16 @@
 	void SetRegions(std::map<std::string, std::string> regions_by_hall) { this->regions = std::move(regions_by_hall); }
 
 	/** The operators' list names \a hall as emptied, or no longer does. */
-	void SetListed(const std::string &hall, bool listed);
+	void SetEvacuated(const std::string &hall, bool evacuated);
 
 	/** The operators' list was read whole: it names \a halls. */
-	void SetAllListed(const std::set<std::string> &halls);
+	void SetAllEvacuated(const std::set<std::string> &halls);
 
 	/** The store has come back from a copy; the whole list follows. What it has forgotten holds on for a while. */
-	void OnOtherStore(TimePoint now);
+	void OnStoreRestored(TimePoint now);
 
 	/** @return Halls that are emptied at \a now. */
-	std::set<std::string> Emptied(TimePoint now) const;
+	std::set<std::string> Evacuated(TimePoint now) const;
 
 	/**
 	 * @param account Client account of the request; null for none.
@@ -48,12 +48,13 @@
 	std::vector<HallPreference> HallsFor(const Route &route, const ClientAccount *account) const;
 
 private:
-	bool IsHome(const std::vector<std::string> &homes, const std::string &region) const;
+	bool IsAllowedRegion(const std::vector<std::string> &home_regions, const std::string &region) const;
 
 	std::string own_hall;                       ///< Hall of this instance.
 	std::map<std::string, std::string> regions; ///< Region of each hall.
-	std::set<std::string> listed;               ///< Halls that the operators' list names as emptied.
-	std::map<std::string, TimePoint> forgotten; ///< Halls that it named in a former store, and until when they stay emptied unlisted.
+	std::set<std::string> evacuated;            ///< Halls that the operators' list names as emptied.
+	std::map<std::string, TimePoint>
+	        held_after_restore; ///< Halls that it named in a former store, and until when they stay emptied unlisted.
 };
 
 } // namespace cottonspool
--- a/src/decision/quarantine.cpp
+++ b/src/decision/quarantine.cpp
@@ -7,87 +7,87 @@
 
 namespace cottonspool {
 
-bool Quarantine::Add(const EndRecord &end, TimePoint now)
+bool Quarantine::Add(const CrashRecord &end, TimePoint now)
 {
-	if (end.print.value == 0 || this->IsFull()) return false;
-	bool added = this->ends[end.print].emplace(end.life, now).second;
+	if (end.fingerprint.value == 0 || this->IsFull()) return false;
+	bool added = this->crashes[end.fingerprint].emplace(end.incarnation, now).second;
 	if (added) this->count++;
 	return added;
 }
 
-void Quarantine::Remove(const EndRecord &end)
+void Quarantine::Remove(const CrashRecord &end)
 {
-	auto found = this->ends.find(end.print);
-	if (found == this->ends.end() || found->second.erase(end.life) == 0) return;
-	if (found->second.empty()) this->ends.erase(found);
+	auto found = this->crashes.find(end.fingerprint);
+	if (found == this->crashes.end() || found->second.erase(end.incarnation) == 0) return;
+	if (found->second.empty()) this->crashes.erase(found);
 	this->count--;
 }
 
-std::vector<EndRecord> Quarantine::All() const
+std::vector<CrashRecord> Quarantine::All() const
 {
-	std::vector<EndRecord> all;
-	for (const auto &[print, lives] : this->ends) {
-		for (const auto &[life, learned] : lives) all.push_back({print, life});
+	std::vector<CrashRecord> all;
+	for (const auto &[fingerprint, incarnations] : this->crashes) {
+		for (const auto &[incarnation, learned_at] : incarnations) all.push_back({fingerprint, incarnation});
 	}
 	return all;
 }
 
-std::vector<EndRecord> Quarantine::EndsOf(RequestPrint print) const
+std::vector<CrashRecord> Quarantine::CrashesOf(RequestFingerprint fingerprint) const
 {
-	std::vector<EndRecord> own;
-	auto found = this->ends.find(print);
-	if (found == this->ends.end()) return own;
-	for (const auto &[life, learned] : found->second) own.push_back({print, life});
+	std::vector<CrashRecord> own;
+	auto found = this->crashes.find(fingerprint);
+	if (found == this->crashes.end()) return own;
+	for (const auto &[incarnation, learned_at] : found->second) own.push_back({fingerprint, incarnation});
 	return own;
 }
 
-std::vector<EndRecord> Quarantine::ClearedByAnswer(RequestPrint print) const
+std::vector<CrashRecord> Quarantine::ClearedBySuccess(RequestFingerprint fingerprint) const
 {
-	std::vector<EndRecord> own = this->EndsOf(print);
-	auto learned = [this](const EndRecord &end) { return this->ends.at(end.print).at(end.life); };
-	std::stable_sort(own.begin(), own.end(), [&](const EndRecord &a, const EndRecord &b) { return learned(a) < learned(b); });
-	own.resize(std::min(own.size(), this->limits.cleared_by_answer));
+	std::vector<CrashRecord> own = this->CrashesOf(fingerprint);
+	auto learned_at = [this](const CrashRecord &end) { return this->crashes.at(end.fingerprint).at(end.incarnation); };
+	std::stable_sort(own.begin(), own.end(), [&](const CrashRecord &a, const CrashRecord &b) { return learned_at(a) < learned_at(b); });
+	own.resize(std::min(own.size(), this->limits.cleared_per_success));
 	return own;
 }
 
-std::vector<EndRecord> Quarantine::Expired(TimePoint now) const
+std::vector<CrashRecord> Quarantine::Expired(TimePoint now) const
 {
-	std::vector<EndRecord> expired;
-	for (const auto &[print, lives] : this->ends) {
-		for (const auto &[life, learned] : lives) {
-			if (now - learned > this->limits.kept) expired.push_back({print, life});
+	std::vector<CrashRecord> expired;
+	for (const auto &[fingerprint, incarnations] : this->crashes) {
+		for (const auto &[incarnation, learned_at] : incarnations) {
+			if (now - learned_at > this->limits.retention) expired.push_back({fingerprint, incarnation});
 		}
 	}
 	return expired;
 }
 
-Duration Quarantine::Left(RequestPrint print, TimePoint now) const
+Duration Quarantine::RemainingTime(RequestFingerprint fingerprint, TimePoint now) const
 {
-	auto found = this->ends.find(print);
-	if (print.value == 0 || found == this->ends.end()) return Duration(0);
+	auto found = this->crashes.find(fingerprint);
+	if (fingerprint.value == 0 || found == this->crashes.end()) return Duration(0);
 	TimePoint oldest = TimePoint::max();
 	TimePoint newest = TimePoint::min();
-	for (const auto &[life, learned] : found->second) {
-		oldest = std::min(oldest, learned);
-		newest = std::max(newest, learned);
+	for (const auto &[incarnation, learned_at] : found->second) {
+		oldest = std::min(oldest, learned_at);
+		newest = std::max(newest, learned_at);
 	}
 	TimePoint until = now;
-	if (found->second.size() >= this->limits.likely_ends) until = newest + this->limits.held_back;
-	if (found->second.size() >= this->limits.ends) until = oldest + this->limits.kept;
+	if (found->second.size() >= this->limits.holdback_crashes) until = newest + this->limits.holdback;
+	if (found->second.size() >= this->limits.crash_threshold) until = oldest + this->limits.retention;
 	return std::max(Duration(0), std::chrono::duration_cast<Duration>(until - now));
 }
 
-Suspicion Quarantine::Judge(RequestPrint print, TimePoint now) const
+Suspicion Quarantine::Judge(RequestFingerprint fingerprint, TimePoint now) const
 {
-	if (!this->ends.contains(print)) return Suspicion::None;
-	return this->Left(print, now) > Duration(0) ? Suspicion::Quarantined : Suspicion::Suspected;
+	if (!this->crashes.contains(fingerprint)) return Suspicion::None;
+	return this->RemainingTime(fingerprint, now) > Duration(0) ? Suspicion::Quarantined : Suspicion::Suspected;
 }
 
-std::vector<RequestPrint> Quarantine::Quarantined(TimePoint now) const
+std::vector<RequestFingerprint> Quarantine::Quarantined(TimePoint now) const
 {
-	std::vector<RequestPrint> prints;
-	for (const auto &[print, lives] : this->ends) {
-		if (this->Left(print, now) > Duration(0)) prints.push_back(print);
+	std::vector<RequestFingerprint> prints;
+	for (const auto &[fingerprint, incarnations] : this->crashes) {
+		if (this->RemainingTime(fingerprint, now) > Duration(0)) prints.push_back(fingerprint);
 	}
 	return prints;
 }
--- a/src/decision/quarantine.h
+++ b/src/decision/quarantine.h
@@ -13,30 +13,30 @@
 namespace cottonspool {
 
 /** A target's life that ended under a request which it had just begun, or not begun yet. */
-struct EndRecord {
-	RequestPrint print; ///< The request.
-	std::string life;   ///< The target and the start of its life; see TargetLife::Name().
+struct CrashRecord {
+	RequestFingerprint fingerprint; ///< The request.
+	std::string incarnation;        ///< The target and the start of its life; see TargetIncarnation::Name().
 
-	auto operator<=>(const EndRecord &) const = default;
+	auto operator<=>(const CrashRecord &) const = default;
 };
 
 /** When a request is not sent any more. */
 struct QuarantineLimits {
 	/** Ends from which a request is not sent any more until they are forgotten; the operators allow three and a few sends more. */
-	uint32_t ends = 3;
+	uint32_t crash_threshold = 3;
 	/**
 	 * Ends from which it is held back for a while: an innocent request has two only by chance, and is cleared once it is answered. A
 	 * request that ends targets then ends fewer of them in its first seconds, and takes fewer others with it.
 	 */
-	uint32_t likely_ends = 2;
-	Duration held_back = std::chrono::seconds(20); ///< Time for which it is held back: targets that ended together are back long before.
+	uint32_t holdback_crashes = 2;
+	Duration holdback = std::chrono::seconds(20); ///< Time for which it is held back: targets that ended together are back long before.
 	/**
 	 * Ends that a good answer takes out, the oldest first: one that ends its target now and then and is answered otherwise would go on
 	 * for ever if an answer took all out.
 	 */
-	size_t cleared_by_answer = 1;
-	Duration kept = std::chrono::minutes(30); ///< Time for which an end is held against a request.
-	size_t most = 4096;                       ///< Most ends that are remembered: 0.98 MB, as the allocator counts them.
+	size_t cleared_per_success = 1;
+	Duration retention = std::chrono::minutes(30); ///< Time for which an end is held against a request.
+	size_t max_records = 4096;                     ///< Most ends that are remembered: 0.98 MB, as the allocator counts them.
 };
 
 /** What is held against a request. */
@@ -56,42 +56,43 @@
 	explicit Quarantine(QuarantineLimits limits) : limits(limits) {}
 
 	/** \a end was seen here or told by another instance. @return Whether that has changed what is held against any request. */
-	bool Add(const EndRecord &end, TimePoint now);
+	bool Add(const CrashRecord &end, TimePoint now);
 
 	/** \a end is not held against its request any more. */
-	void Remove(const EndRecord &end);
+	void Remove(const CrashRecord &end);
 
 	/** @return All ends, oldest first for each request. */
-	std::vector<EndRecord> All() const;
+	std::vector<CrashRecord> All() const;
 
-	/** @return The ends held against \a print. */
-	std::vector<EndRecord> EndsOf(RequestPrint print) const;
+	/** @return The ends held against \a fingerprint. */
+	std::vector<CrashRecord> CrashesOf(RequestFingerprint fingerprint) const;
 
-	/** @return The ends that a good answer to \a print takes out. */
-	std::vector<EndRecord> ClearedByAnswer(RequestPrint print) const;
+	/** @return The ends that a good answer to \a fingerprint takes out. */
+	std::vector<CrashRecord> ClearedBySuccess(RequestFingerprint fingerprint) const;
 
 	/** @return Ends that are older than they may be at \a now. */
-	std::vector<EndRecord> Expired(TimePoint now) const;
+	std::vector<CrashRecord> Expired(TimePoint now) const;
 
-	/** @return What is held against \a print at \a now; zero stands for a request without a fingerprint. */
-	Suspicion Judge(RequestPrint print, TimePoint now) const;
+	/** @return What is held against \a fingerprint at \a now; zero stands for a request without a fingerprint. */
+	Suspicion Judge(RequestFingerprint fingerprint, TimePoint now) const;
 
 	/** @return Requests that are quarantined at \a now. */
-	std::vector<RequestPrint> Quarantined(TimePoint now) const;
+	std::vector<RequestFingerprint> Quarantined(TimePoint now) const;
 
-	/** @return Time until the quarantine of \a print ends if nothing more happens. */
-	Duration Left(RequestPrint print, TimePoint now) const;
+	/** @return Time until the quarantine of \a fingerprint ends if nothing more happens. */
+	Duration RemainingTime(RequestFingerprint fingerprint, TimePoint now) const;
 
 	/** @return Whether nothing is held against any request. */
-	bool IsEmpty() const { return this->ends.empty(); }
+	bool IsEmpty() const { return this->crashes.empty(); }
 
 	/** @return Whether as many ends are remembered as may be. */
-	bool IsFull() const { return this->count >= this->limits.most; }
+	bool IsFull() const { return this->count >= this->limits.max_records; }
 
 private:
-	QuarantineLimits limits;                                       ///< When a request is not sent any more.
-	std::map<RequestPrint, std::map<std::string, TimePoint>> ends; ///< Lives that ended under each request, and when that was learned.
-	size_t count = 0;                                              ///< Ends in all.
+	QuarantineLimits limits; ///< When a request is not sent any more.
+	std::map<RequestFingerprint, std::map<std::string, TimePoint>>
+	        crashes;  ///< Lives that ended under each request, and when that was learned.
+	size_t count = 0; ///< Ends in all.
 };
 
 } // namespace cottonspool
--- a/src/decision/rate_share.h
+++ b/src/decision/rate_share.h
@@ -13,14 +13,14 @@
 namespace cottonspool {
 
 /** What a target bears from all instances together. */
-struct RateBound {
+struct RateLimit {
 	double per_second = 0;                  ///< Requests a second.
 	Duration span{std::chrono::seconds(1)}; ///< Any span of this length holds what the rate gives for it.
 };
 
 /** What one instance may send in any window. */
 struct RateShare {
-	uint32_t most = 0;                        ///< Requests in each window.
+	uint32_t max_requests = 0;                ///< Requests in each window.
 	Duration window{std::chrono::seconds(1)}; ///< Length of a window; any span of this length counts.
 
 	bool operator==(const RateShare &) const = default;
@@ -33,7 +33,7 @@
  * @param sharers Names of the instances that share it; one that doesn't know most of them has to pass none.
  * @return The share of \a own; none if it is not among \a sharers.
  */
-RateShare ShareRate(const std::string &target, RateBound bound, const std::vector<std::string> &sharers, const std::string &own);
+RateShare ShareRate(const std::string &target, RateLimit bound, const std::vector<std::string> &sharers, const std::string &own);
 
 /** The requests that one instance has sent lately, against what it may send in a window. */
 class RateGate {
@@ -47,10 +47,10 @@
 	Duration Window() const { return this->window; }
 
 	/** @return Requests sent in the window that ends at \a now. */
-	uint32_t SentLately(TimePoint now) const;
+	uint32_t SentInWindow(TimePoint now) const;
 
-	/** @return When the next request may be sent at the earliest if \a most may be sent in a window; max() if none may. */
-	TimePoint FreeAt(uint32_t most, TimePoint now) const;
+	/** @return When the next request may be sent at the earliest if \a max_requests may be sent in a window; max() if none may. */
+	TimePoint FreeAt(uint32_t max_requests, TimePoint now) const;
 
 	/** This instance sends a request. */
 	void OnSent(TimePoint now);
--- a/src/decision/request.cpp
+++ b/src/decision/request.cpp
@@ -8,8 +8,8 @@
 
 static constexpr std::array<const char *, SERVICE_CLASS_COUNT> CLASS_NAMES{"interactive", "stream", "background"};
 static constexpr std::array<const char *, 3> RAN_NAMES{"no", "yes", "unknown"};
-static constexpr std::array<const char *, GIVE_UP_REASON_COUNT> REASON_NAMES{"deadline-passed", "wait-too-long", "queue-full", "no-target",
-                                                                             "retry-budget",    "quarantined",   "all-bound"};
+static constexpr std::array<const char *, REJECT_REASON_COUNT> REASON_NAMES{"deadline-passed", "wait-too-long", "queue-full", "no-target",
+                                                                            "retry-budget",    "quarantined",   "all-bound"};
 
 const char *ServiceClassName(ServiceClass service_class)
 {
@@ -24,12 +24,12 @@
 	return std::nullopt;
 }
 
-const char *RanStateName(RanState ran)
+const char *ExecutionStateName(ExecutionState ran)
 {
 	return RAN_NAMES[static_cast<size_t>(ran)];
 }
 
-const char *GiveUpReasonName(GiveUpReason reason)
+const char *RejectReasonName(RejectReason reason)
 {
 	return REASON_NAMES[static_cast<size_t>(reason)];
 }
--- a/src/decision/request_fingerprint.cpp
+++ b/src/decision/request_fingerprint.cpp
@@ -10,28 +10,28 @@
 
 static constexpr size_t TEXT_LENGTH = 16; ///< Digits of a fingerprint.
 
-RequestPrint PrintRequest(const RequestIdentity &identity)
+RequestFingerprint ComputeFingerprint(const RequestIdentity &identity)
 {
 	uint64_t hash = HashText(identity.method);
 	for (std::string_view part : {identity.host, identity.path, identity.account, identity.body}) hash = HashText(part, hash);
-	return RequestPrint{hash == 0 ? 1 : hash};
+	return RequestFingerprint{hash == 0 ? 1 : hash};
 }
 
-std::string PrintText(RequestPrint print)
+std::string FormatFingerprint(RequestFingerprint fingerprint)
 {
 	static constexpr char HEX[] = "0123456789abcdef";
 	std::string text(TEXT_LENGTH, '0');
-	for (size_t i = 0; i < TEXT_LENGTH; i++) text[TEXT_LENGTH - 1 - i] = HEX[print.value >> (4 * i) & 15];
+	for (size_t i = 0; i < TEXT_LENGTH; i++) text[TEXT_LENGTH - 1 - i] = HEX[fingerprint.value >> (4 * i) & 15];
 	return text;
 }
 
-std::optional<RequestPrint> ParsePrint(std::string_view text)
+std::optional<RequestFingerprint> ParseFingerprint(std::string_view text)
 {
-	RequestPrint print;
-	auto parsed = std::from_chars(text.data(), text.data() + text.size(), print.value, 16);
+	RequestFingerprint fingerprint;
+	auto parsed = std::from_chars(text.data(), text.data() + text.size(), fingerprint.value, 16);
 	bool whole = text.size() == TEXT_LENGTH && parsed.ec == std::errc() && parsed.ptr == text.data() + text.size();
-	if (!whole || print.value == 0) return std::nullopt;
-	return print;
+	if (!whole || fingerprint.value == 0) return std::nullopt;
+	return fingerprint;
 }
 
 } // namespace cottonspool
--- a/src/decision/request_fingerprint.h
+++ b/src/decision/request_fingerprint.h
@@ -12,7 +12,7 @@
 namespace cottonspool {
 
 /** Fingerprint of a request: equal for all tries of it, at whatever instance. */
-using RequestPrint = StrongId<struct RequestPrintTag, uint64_t>;
+using RequestFingerprint = StrongId<struct RequestFingerprintTag, uint64_t>;
 
 /** What of a request stays the same when its caller sends it again. Its id, its time limit and the key it bears need not. */
 struct RequestIdentity {
@@ -24,12 +24,12 @@
 };
 
 /** @return The fingerprint of the request \a identity, the same on every instance; never zero, which stands for none. */
-RequestPrint PrintRequest(const RequestIdentity &identity);
+RequestFingerprint ComputeFingerprint(const RequestIdentity &identity);
 
-/** @return \a print as 16 hexadecimal digits. */
-std::string PrintText(RequestPrint print);
+/** @return \a fingerprint as 16 hexadecimal digits. */
+std::string FormatFingerprint(RequestFingerprint fingerprint);
 
 /** @return The fingerprint that \a text spells, or nothing. */
-std::optional<RequestPrint> ParsePrint(std::string_view text);
+std::optional<RequestFingerprint> ParseFingerprint(std::string_view text);
 
 } // namespace cottonspool
--- a/src/decision/request_type.h
+++ b/src/decision/request_type.h
@@ -26,10 +26,10 @@
 std::optional<ServiceClass> ParseServiceClass(std::string_view name);
 
 /** Whether a request was run, as told to its caller. */
-enum class RanState : uint8_t { No, Yes, Unknown };
+enum class ExecutionState : uint8_t { No, Yes, Unknown };
 
 /** @return "no", "yes" or "unknown". */
-const char *RanStateName(RanState ran);
+const char *ExecutionStateName(ExecutionState ran);
 
 /** Preference for a data hall, from traffic shares or a policy. */
 struct HallPreference {
@@ -53,23 +53,23 @@
 	TimePoint deadline;                                     ///< When it is given up if it has not been sent.
 	std::vector<HallPreference> halls;                      ///< Halls in order of preference; empty means any.
 	bool generated = true;                                  ///< A model generation; false for a plain service call.
-	TimePoint ends_at = TimePoint::max();                   ///< When its final answer is due at the latest.
+	TimePoint response_deadline = TimePoint::max();         ///< When its final answer is due at the latest.
 	Duration objective{0};                                  ///< Latency within which its (first) answer is in time; zero if there is none.
 	double other_hall_penalty = 0.10;                       ///< Pressure that the next preferred hall has to be better by.
 	uint32_t max_attempts = 0;                              ///< Most targets it may be sent to; 0 means the dispatcher's own bound.
-	TimePoint press_from = TimePoint::max();                ///< From then on it goes to a target without room, up to a bound.
+	TimePoint overcommit_from = TimePoint::max();           ///< From then on it goes to a target without room, up to a bound.
 	std::vector<TargetNumber> avoid;                        ///< Targets that get it only if there is no other.
-	bool avoid_strictly = false;                            ///< They don't get it at all.
-	bool avoid_cold = false;                                ///< Targets that are cold don't get it at all.
-	RequestPrint print;                                     ///< Its fingerprint; zero for none.
+	bool exclude_avoided = false;                           ///< They don't get it at all.
+	bool exclude_cold = false;                              ///< Targets that are cold don't get it at all.
+	RequestFingerprint fingerprint;                         ///< Its fingerprint; zero for none.
 };
 
 /** Why a call was given up before it was sent. */
-enum class GiveUpReason : uint8_t { DeadlinePassed, WaitTooLong, QueueFull, NoTarget, RetryBudget, Quarantined, AllBound };
-constexpr size_t GIVE_UP_REASON_COUNT = 7;
+enum class RejectReason : uint8_t { DeadlinePassed, WaitTooLong, QueueFull, NoTarget, RetryBudget, Quarantined, AllRestricted };
+constexpr size_t REJECT_REASON_COUNT = 7;
 
 /** @return The name of \a reason as written in answers and metrics. */
-const char *GiveUpReasonName(GiveUpReason reason);
+const char *RejectReasonName(RejectReason reason);
 
 /** Tells the shell to send a call to a target. */
 struct SendAction {
@@ -79,17 +79,17 @@
 };
 
 /** Tells the shell to answer a call that will not be sent any more: it was not run. */
-struct GiveUpAction {
-	CallId call;          ///< Call to answer.
-	GiveUpReason reason;  ///< Why.
-	Duration retry_after; ///< When coming back helps.
-	BoundCounts bounds{}; ///< For how many targets each bound held, if it is given up since all were bound.
+struct RejectAction {
+	CallId call;                      ///< Call to answer.
+	RejectReason reason;              ///< Why.
+	Duration retry_after;             ///< When coming back helps.
+	RestrictionCounts restrictions{}; ///< For how many targets each bound held, if it is given up since all were bound.
 };
 
 /** Decisions that follow from one event, in the order to carry them out. */
 struct Decisions {
-	std::vector<SendAction> sends;      ///< Calls to send.
-	std::vector<GiveUpAction> give_ups; ///< Calls to refuse.
+	std::vector<SendAction> sends;        ///< Calls to send.
+	std::vector<RejectAction> rejections; ///< Calls to refuse.
 };
 
 /** A target's own report of its load, as received. */
@@ -102,7 +102,7 @@
 	uint64_t waiting_tokens = 0;    ///< Prompt tokens of the waiting calls.
 	uint64_t preemptions = 0;       ///< Preemptions since the target's start.
 	Duration age{0};                ///< Age of the report when it was received.
-	bool leaving = false;           ///< The target's own notice that it leaves.
+	bool draining = false;          ///< The target's own notice that it leaves.
 	std::string incarnation;        ///< Changes whenever the target starts anew.
 	std::vector<uint64_t> prefixes; ///< Prefixes said to be cached; late and with gaps.
 };
--- a/src/decision/route_table.cpp
+++ b/src/decision/route_table.cpp
@@ -54,13 +54,14 @@
 	return last->pool;
 }
 
-KeyVerdict RouteTable::CheckKey(const Route &route, std::string_view key, const ClientAccount **account) const
+KeyCheckResult RouteTable::CheckKey(const Route &route, std::string_view key, const ClientAccount **account) const
 {
 	*account = nullptr;
 	auto found = key.empty() ? this->keys.end() : this->keys.find(std::string(key));
 	if (found != this->keys.end()) *account = &this->configuration.accounts[found->second];
-	if (!this->configuration.has_accounts || !route.needs_key) return *account != nullptr ? KeyVerdict::Known : KeyVerdict::NotNeeded;
-	return *account != nullptr ? KeyVerdict::Known : KeyVerdict::Unknown;
+	if (!this->configuration.has_accounts || !route.requires_key)
+		return *account != nullptr ? KeyCheckResult::Known : KeyCheckResult::NotNeeded;
+	return *account != nullptr ? KeyCheckResult::Known : KeyCheckResult::Unknown;
 }
 
 const Pool *RouteTable::FindPool(std::string_view name) const
--- a/src/decision/route_table.h
+++ b/src/decision/route_table.h
@@ -12,7 +12,7 @@
 namespace cottonspool {
 
 /** Result of looking a request's key up. */
-enum class KeyVerdict : uint8_t {
+enum class KeyCheckResult : uint8_t {
 	Known,     ///< The account is known.
 	NotNeeded, ///< The route is open to all, or there are no accounts.
 	Unknown,   ///< The request must not run.
@@ -37,7 +37,7 @@
 	static std::string ChoosePool(const Route &route, double draw);
 
 	/** Look \a key up for \a route. @param account Set to the account when it is known. */
-	KeyVerdict CheckKey(const Route &route, std::string_view key, const ClientAccount **account) const;
+	KeyCheckResult CheckKey(const Route &route, std::string_view key, const ClientAccount **account) const;
 
 	/** @return The pool \a name, or null. */
 	const Pool *FindPool(std::string_view name) const;
--- a/src/decision/router.cpp
+++ b/src/decision/router.cpp
@@ -12,7 +12,7 @@
 static constexpr double PREFIX_BONUS = 0.40;      ///< Pressure that a cached prefix outweighs, among targets that have room.
 static constexpr double INTERVAL_WEIGHT = 0.4;    ///< Weight of the time between tokens against its median.
 static constexpr double CALLS_WEIGHT = 0.02;      ///< Weight of one call at the target: more calls make each step longer.
-static constexpr double MOST_PRESSURE = 1.5;      ///< Pressure from which even an interactive call waits.
+static constexpr double MAX_PRESSURE = 1.5;       ///< Pressure from which even an interactive call waits.
 static constexpr double FIRST_TOKEN_WEIGHT = 1.5; ///< Weight of the wait for the first token, as a part of the objective.
 
 /** @return Penalty of the hall of \a target for \a call, which may run there. */
@@ -33,11 +33,11 @@
 }
 
 /** @return \a call with nothing to avoid, if no target is left for it otherwise; nothing if one is. */
-static std::optional<CallSpec> WithoutAvoiding(const CallSpec &call, const TargetTable &targets, TimePoint now)
+static std::optional<CallSpec> RelaxAvoidance(const CallSpec &call, const TargetTable &targets, TimePoint now)
 {
-	if (call.avoid.empty() || call.avoid_strictly) return std::nullopt;
+	if (call.avoid.empty() || call.exclude_avoided) return std::nullopt;
 	for (TargetNumber number : targets.ForModel(call.model)) {
-		if (!IsAvoided(call, number) && targets.MayGet(targets.Get(number), call, now)) return std::nullopt;
+		if (!IsAvoided(call, number) && targets.IsEligible(targets.Get(number), call, now)) return std::nullopt;
 	}
 	CallSpec relaxed = call;
 	relaxed.avoid.clear();
@@ -45,12 +45,12 @@
 }
 
 /** @return The targets that may get \a call now. */
-static std::vector<TargetNumber> Usable(const CallSpec &call, const TargetTable &targets, TimePoint now)
+static std::vector<TargetNumber> EligibleTargets(const CallSpec &call, const TargetTable &targets, TimePoint now)
 {
 	std::vector<TargetNumber> usable;
 	for (TargetNumber number : targets.ForModel(call.model)) {
 		const TargetState &target = targets.Get(number);
-		if (targets.MayGet(target, call, now) && !IsAvoided(call, number)) usable.push_back(number);
+		if (targets.IsEligible(target, call, now) && !IsAvoided(call, number)) usable.push_back(number);
 	}
 	return usable;
 }
@@ -71,24 +71,24 @@
 
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
 	{
-		if (std::optional<CallSpec> relaxed = WithoutAvoiding(call, targets, now)) return this->Choose(*relaxed, targets, now);
+		if (std::optional<CallSpec> relaxed = RelaxAvoidance(call, targets, now)) return this->Choose(*relaxed, targets, now);
 		std::optional<TargetNumber> best = this->Best(call, targets, now, this->rules.use_headroom);
 		// An interactive call does not wait for room: it goes first at the engine, and what it takes is kept free by the other classes.
 		bool interactive = call.service_class == ServiceClass::Interactive && call.generated;
-		bool may_press = (interactive || now >= call.press_from) && (!call.generated || this->rules.use_press);
-		return best || !may_press ? best : this->Best(call, targets, now, false);
+		bool may_overcommit = (interactive || now >= call.overcommit_from) && (!call.generated || this->rules.use_overcommit);
+		return best || !may_overcommit ? best : this->Best(call, targets, now, false);
 	}
 
 private:
-	std::optional<TargetNumber> Best(const CallSpec &call, const TargetTable &targets, TimePoint now, bool with_room) const
+	std::optional<TargetNumber> Best(const CallSpec &call, const TargetTable &targets, TimePoint now, bool require_headroom) const
 	{
 		std::optional<TargetNumber> best;
 		double best_score = std::numeric_limits<double>::max();
 		for (TargetNumber number : targets.ForModel(call.model)) {
 			const TargetState &target = targets.Get(number);
-			if (!targets.MayGet(target, call, now) || IsAvoided(call, number)) continue;
-			if (with_room && !this->HasRoom(call, target, targets, now)) continue;
-			if (!with_room && this->rules.use_headroom && targets.Pressure(target, now) > MOST_PRESSURE) continue;
+			if (!targets.IsEligible(target, call, now) || IsAvoided(call, number)) continue;
+			if (require_headroom && !this->HasHeadroom(call, target, targets, now)) continue;
+			if (!require_headroom && this->rules.use_headroom && targets.Pressure(target, now) > MAX_PRESSURE) continue;
 			double score = this->Score(call, target, targets, now) + HallPenalty(call, target);
 			if (score >= best_score) continue;
 			best = number;
@@ -97,7 +97,7 @@
 		return best;
 	}
 
-	bool HasRoom(const CallSpec &call, const TargetState &target, const TargetTable &targets, TimePoint now) const
+	bool HasHeadroom(const CallSpec &call, const TargetState &target, const TargetTable &targets, TimePoint now) const
 	{
 		double need = targets.Need(target, call);
 		if (targets.Allowance(target, call, now) >= need) return true;
@@ -124,7 +124,7 @@
 public:
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
 	{
-		std::vector<TargetNumber> usable = Usable(call, targets, now);
+		std::vector<TargetNumber> usable = EligibleTargets(call, targets, now);
 		if (usable.empty()) return std::nullopt;
 		return usable[this->next++ % usable.size()];
 	}
@@ -139,7 +139,7 @@
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
 	{
 		std::optional<TargetNumber> best;
-		for (TargetNumber number : Usable(call, targets, now)) {
+		for (TargetNumber number : EligibleTargets(call, targets, now)) {
 			if (!best || ReportedLoad(targets.Get(number)) < ReportedLoad(targets.Get(*best))) best = number;
 		}
 		return best;
@@ -153,7 +153,7 @@
 
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
 	{
-		std::vector<TargetNumber> usable = Usable(call, targets, now);
+		std::vector<TargetNumber> usable = EligibleTargets(call, targets, now);
 		if (usable.empty()) return std::nullopt;
 		TargetNumber first = usable[this->Random() % usable.size()];
 		TargetNumber second = usable[this->Random() % usable.size()];
@@ -172,7 +172,7 @@
 public:
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
 	{
-		std::vector<TargetNumber> usable = Usable(call, targets, now);
+		std::vector<TargetNumber> usable = EligibleTargets(call, targets, now);
 		if (usable.empty()) return std::nullopt;
 		auto delay = [&](TargetNumber n) { return targets.Get(n).interval * (1 + targets.Get(n).report.waiting); };
 		auto cost = [&](TargetNumber n) { return ReportedLoad(targets.Get(n)); };
--- a/src/decision/router_base.h
+++ b/src/decision/router_base.h
@@ -22,7 +22,7 @@
 struct HeadroomRules {
 	bool use_headroom = true;    ///< Let a call wait while no target has room for its expected length.
 	bool use_interval = true;    ///< Prefer targets whose tokens come faster than their like's.
-	bool use_press = true;       ///< Let interactive generations, and those whose time to press has come, go without room, up to a bound.
+	bool use_overcommit = true;  ///< Let interactive generations, and those whose time to press has come, go without room, up to a bound.
 	bool use_prefix = true;      ///< Prefer a target that has the prompt's beginning cached.
 	bool use_first_token = true; ///< Prefer a target that reads the prompt soon.
 };
--- a/src/decision/serving_type.h
+++ b/src/decision/serving_type.h
@@ -14,7 +14,7 @@
 namespace cottonspool {
 
 /** What may be done with a request that did not end well. */
-enum class RunKind : uint8_t {
+enum class RouteType : uint8_t {
 	Repeatable, ///< May run more than once.
 	Once,       ///< May run at most once.
 	Stream,     ///< A generation, passed on event by event; may run at most once.
@@ -28,18 +28,18 @@
 
 /** One route. */
 struct Route {
-	std::string name;                   ///< Name, for logs and metrics.
-	std::string host;                   ///< Host it is for.
-	std::string path_prefix;            ///< Beginning of the paths it is for; ends in a slash.
-	RunKind kind = RunKind::Repeatable; ///< What may be repeated.
-	std::vector<WeightedPool> pools;    ///< Where its requests go.
-	uint32_t max_attempts = 1;          ///< Most targets that one request may be sent to.
-	Duration timeout{0};                ///< Longest time a request may be held.
-	Duration objective{0};              ///< Latency within which an answer (its first event) is in time.
-	Duration gap_objective{0};          ///< Longest pause between events that is in time; zero if there is none.
-	int rank = 0;                       ///< Order among requests; 0 goes first.
-	bool needs_key = true;              ///< Requests must carry a client account's key.
-	std::vector<std::string> homes;     ///< Regions in which its requests may run; empty for all.
+	std::string name;                       ///< Name, for logs and metrics.
+	std::string host;                       ///< Host it is for.
+	std::string path_prefix;                ///< Beginning of the paths it is for; ends in a slash.
+	RouteType kind = RouteType::Repeatable; ///< What may be repeated.
+	std::vector<WeightedPool> pools;        ///< Where its requests go.
+	uint32_t max_attempts = 1;              ///< Most targets that one request may be sent to.
+	Duration timeout{0};                    ///< Longest time a request may be held.
+	Duration objective{0};                  ///< Latency within which an answer (its first event) is in time.
+	Duration gap_objective{0};              ///< Longest pause between events that is in time; zero if there is none.
+	int priority_level = 0;                 ///< Order among requests; 0 goes first.
+	bool requires_key = true;               ///< Requests must carry a client account's key.
+	std::vector<std::string> home_regions;  ///< Regions in which its requests may run; empty for all.
 };
 
 /** What is known of the engines of a pool. */
@@ -49,7 +49,7 @@
 	double bytes_per_token = 0;    ///< Size of a token's part of the memory.
 	double link_mbps = 0;          ///< Speed of the link on which memory is moved, in Mbit/s.
 	uint32_t tokens_per_event = 1; ///< Tokens that one event holds.
-	bool can_move = false;         ///< Runs can be moved to another engine.
+	bool can_migrate = false;      ///< Runs can be moved to another engine.
 	bool can_back_up = false;      ///< Runs can be backed up on another engine.
 };
 
@@ -69,15 +69,15 @@
 	uint32_t max_connections = 0;     ///< Most connections a target takes from all callers together; 0 if unknown.
 	std::optional<EnginePool> engine; ///< Given for model engines.
 	Duration cold_start{0};           ///< Time for which a target is cold after its start.
-	double cold_per_s = 0;            ///< Requests a second that a cold target bears, from all instances together; 0 for any number.
+	double cold_rate = 0;             ///< Requests a second that a cold target bears, from all instances together; 0 for any number.
 };
 
 /** One client account. */
 struct ClientAccount {
-	std::string name;               ///< Name, told to targets.
-	std::vector<std::string> keys;  ///< Keys.
-	std::optional<int> rank;        ///< Goes before the route's rank.
-	std::vector<std::string> homes; ///< Regions in which its requests may run; empty for all.
+	std::string name;                      ///< Name, told to targets.
+	std::vector<std::string> keys;         ///< Keys.
+	std::optional<int> priority_level;     ///< Goes before the route's rank.
+	std::vector<std::string> home_regions; ///< Regions in which its requests may run; empty for all.
 };
 
 /** Limits on callers that the operator sets. */
@@ -100,20 +100,20 @@
 
 /** A target as its own heartbeat shows it. */
 struct ListedTarget {
-	TargetLife life;       ///< Its id and the start of its life.
-	std::string pool;      ///< Pool it belongs to.
-	std::string address;   ///< IP:PORT.
-	std::string hall;      ///< Data hall.
-	uint32_t slots = 1;    ///< Requests it works on at once.
-	bool leaving = false;  ///< Gets nothing new.
-	uint64_t sequence = 0; ///< Rises with each heartbeat.
-	Duration cold_left{0}; ///< How much longer it is slow from its start.
+	TargetIncarnation incarnation; ///< Its id and the start of its life.
+	std::string pool;              ///< Pool it belongs to.
+	std::string address;           ///< IP:PORT.
+	std::string hall;              ///< Data hall.
+	uint32_t slots = 1;            ///< Requests it works on at once.
+	bool draining = false;         ///< Gets nothing new.
+	uint64_t sequence = 0;         ///< Rises with each heartbeat.
+	Duration cold_remaining{0};    ///< How much longer it is slow from its start.
 
 	/** @return Whether \a other says the same but for the heartbeat's number. */
-	bool SaysSameAs(const ListedTarget &other) const
+	bool HasSameContent(const ListedTarget &other) const
 	{
 		return this->pool == other.pool && this->address == other.address && this->hall == other.hall && this->slots == other.slots &&
-		       this->leaving == other.leaving && this->cold_left == other.cold_left;
+		       this->draining == other.draining && this->cold_remaining == other.cold_remaining;
 	}
 };
 
--- a/src/decision/target_health.cpp
+++ b/src/decision/target_health.cpp
@@ -8,20 +8,20 @@
 namespace cottonspool {
 
 static constexpr size_t SLOW_MIN_TARGETS = 3; ///< Fewest measured targets from which a median says something.
-static constexpr double INTERVAL_AGING = 0.1; ///< Part of the way to the median that an idle target's figure goes in a second.
+static constexpr double INTERVAL_DECAY = 0.1; ///< Part of the way to the median that an idle target's figure goes in a second.
 
-uint32_t TargetTable::OnEnded(TargetNumber number, CallId call, TargetConduct conduct, TimePoint now)
+uint32_t TargetTable::OnEnded(TargetNumber number, CallId call, SendResult result, TimePoint now)
 {
 	TargetState &target = this->targets[number.value];
 	if (!target.in_flight.contains(call)) return 0;
-	uint32_t generated = this->TakeOut(target, call, now);
-	target.bounds.probing = false;
-	target.unreached = conduct == TargetConduct::Unreachable ? target.unreached + 1 : 0;
-	if (conduct == TargetConduct::TurnedAway) return generated;
-	if (conduct == TargetConduct::Well) {
+	uint32_t generated = this->RemoveCall(target, call, now);
+	target.restrictions.probing = false;
+	target.connect_failures = result == SendResult::Unreachable ? target.connect_failures + 1 : 0;
+	if (result == SendResult::Rejected) return generated;
+	if (result == SendResult::Answered) {
 		target.failures = target.ejections = 0;
-		target.bounds.ejected_until = TimePoint{};
-	} else if (target.unreached >= this->limits.eject_unreached) {
+		target.restrictions.ejected_until = TimePoint{};
+	} else if (target.connect_failures >= this->limits.eject_connect_failures) {
 		this->EjectUnreachable(target, now);
 	} else if (++target.failures >= this->limits.eject_failures && this->MayEject(target, now)) {
 		this->Eject(target, now);
@@ -31,10 +31,10 @@
 
 void TargetTable::OnSent(TargetNumber number, const CallSpec &call, TimePoint now)
 {
-	this->OnForeignSent(number, call, now);
+	this->OnPeerCallSent(number, call, now);
 	// Only own calls find out whether it is well again: how those of peers end is not told here, and they would be waited for for ever.
 	TargetState &target = this->targets[number.value];
-	if (target.ejections > 0) target.bounds.probing = true;
+	if (target.ejections > 0) target.restrictions.probing = true;
 }
 
 void TargetTable::EjectUnreachable(TargetState &target, TimePoint now)
@@ -45,10 +45,10 @@
 	for (ModelNumber model : target.models) {
 		for (TargetNumber number : this->ForModel(model)) {
 			TargetState &other = this->targets[number.value];
-			if (&other == &target || other.bounds.leaving || other.unreached >= this->limits.eject_unreached) continue;
+			if (&other == &target || other.restrictions.draining || other.connect_failures >= this->limits.eject_connect_failures) continue;
 			others = true;
 			other.failures = other.ejections = 0;
-			other.bounds.ejected_until = TimePoint{};
+			other.restrictions.ejected_until = TimePoint{};
 		}
 	}
 	if (others) this->Eject(target, now);
@@ -60,7 +60,7 @@
 		const std::vector<TargetNumber> &alike = this->ForModel(model);
 		auto out = std::count_if(alike.begin(), alike.end(), [&](TargetNumber other) {
 			const TargetState &state = this->Get(other);
-			return &state == &target || now < state.bounds.ejected_until || state.bounds.leaving;
+			return &state == &target || now < state.restrictions.ejected_until || state.restrictions.draining;
 		});
 		if (static_cast<size_t>(out) * 2 > alike.size()) return false;
 	}
@@ -70,11 +70,11 @@
 void TargetTable::Eject(TargetState &target, TimePoint now)
 {
 	auto length = this->limits.eject_base * (1U << std::min<uint32_t>(target.ejections, 10));
-	target.bounds.ejected_until = now + std::min<Duration>(length, this->limits.eject_max);
+	target.restrictions.ejected_until = now + std::min<Duration>(length, this->limits.eject_max);
 	target.ejections++;
 }
 
-void TargetTable::RefreshSlow()
+void TargetTable::UpdateSlowTargets()
 {
 	for (const auto &[model, numbers] : this->by_model) {
 		std::vector<double> intervals;
@@ -88,7 +88,7 @@
 			TargetState &target = this->targets[number.value];
 			target.median_interval = *middle;
 			// Without own calls there the figure ages towards the median, so that a target that was slow is tried again.
-			if (target.in_flight.empty() && target.interval > 0) target.interval += INTERVAL_AGING * (*middle - target.interval);
+			if (target.in_flight.empty() && target.interval > 0) target.interval += INTERVAL_DECAY * (*middle - target.interval);
 			target.slow = target.interval > this->limits.slow_factor * *middle;
 		}
 	}
--- a/src/decision/target_incarnation.cpp
+++ b/src/decision/target_incarnation.cpp
@@ -6,14 +6,14 @@
 
 namespace cottonspool {
 
-std::string TargetLife::Name() const
+std::string TargetIncarnation::Name() const
 {
 	static constexpr char DIGITS[] = "0123456789abcdefghijklmnopqrstuvwxyz";
 	static constexpr uint64_t BASE = 36;
 	static constexpr int PLACES = 6;
-	if (this->born == 0) return this->id;
+	if (this->started_ms == 0) return this->id;
 	std::string start(PLACES, '0');
-	uint64_t rest = this->born;
+	uint64_t rest = this->started_ms;
 	for (int i = PLACES - 1; i >= 0; i--, rest /= BASE) start[static_cast<size_t>(i)] = DIGITS[rest % BASE];
 	return this->id + "@" + start;
 }
--- a/src/decision/target_incarnation.h
+++ b/src/decision/target_incarnation.h
@@ -14,11 +14,11 @@
  * A target may start again under the id that it had. Nothing of its former life is true of it then: runs, load, copies, prompts read,
  * failures, departures. So every table of the core, and all news between instances, name lives.
  */
-struct TargetLife {
-	std::string id;    ///< Id under which it is listed.
-	uint64_t born = 0; ///< Start of this life by its own clock, in milliseconds since the epoch; 0 if it tells none.
+struct TargetIncarnation {
+	std::string id;          ///< Id under which it is listed.
+	uint64_t started_ms = 0; ///< Start of this life by its own clock, in milliseconds since the epoch; 0 if it tells none.
 
-	auto operator<=>(const TargetLife &) const = default;
+	auto operator<=>(const TargetIncarnation &) const = default;
 
 	/**
 	 * @return Its name: the id, and where it tells its start, that in a short form. Two lives of an id have the same one only if they
@@ -27,7 +27,7 @@
 	std::string Name() const;
 
 	/** @return Whether a target that tells \a told as its start is another life than this one. */
-	bool IsOther(uint64_t told) const { return this->born != 0 && told != 0 && told != this->born; }
+	bool IsOtherIncarnation(uint64_t told) const { return this->started_ms != 0 && told != 0 && told != this->started_ms; }
 };
 
 } // namespace cottonspool
--- a/src/decision/target_placement.cpp
+++ b/src/decision/target_placement.cpp
@@ -7,50 +7,50 @@
 
 namespace cottonspool {
 
-void TargetTable::SetEmptiedHalls(const std::set<std::string> &halls)
+void TargetTable::SetEvacuatedHalls(const std::set<std::string> &halls)
 {
-	this->emptied_halls = halls;
-	for (TargetState &target : this->targets) target.bounds.emptied = halls.contains(target.hall);
+	this->evacuated_halls = halls;
+	for (TargetState &target : this->targets) target.restrictions.evacuated = halls.contains(target.hall);
 }
 
 void TargetTable::SetCold(TargetNumber number, TimePoint end, RateShare share)
 {
 	TargetState &target = this->targets[number.value];
-	target.bounds.cold.SetShare(share);
-	target.bounds.cold.ExtendTo(end);
+	target.restrictions.cold.SetShare(share);
+	target.restrictions.cold.ExtendTo(end);
 }
 
-BoundVerdict TargetTable::Judge(const TargetState &target, const CallSpec &call, TimePoint now)
+AdmissionVerdict TargetTable::CheckAdmission(const TargetState &target, const CallSpec &call, TimePoint now)
 {
-	if (!target.models.contains(call.model)) return {Bound::OtherPool};
-	if (!MayRunIn(call, target.hall)) return {Bound::OtherHall};
-	return target.bounds.Judge(now, call.avoid_cold);
+	if (!target.models.contains(call.model)) return {Restriction::OtherPool};
+	if (!MayRunIn(call, target.hall)) return {Restriction::OtherHall};
+	return target.restrictions.CheckAdmission(now, call.exclude_cold);
 }
 
-TimePoint TargetTable::FreeAt(const CallSpec &call, TimePoint now, BoundCounts *counts) const
+TimePoint TargetTable::FreeAt(const CallSpec &call, TimePoint now, RestrictionCounts *counts) const
 {
 	TimePoint free_at = TimePoint::max();
 	for (TargetNumber number : this->ForModel(call.model)) {
-		BoundVerdict verdict = Judge(this->Get(number), call, now);
+		AdmissionVerdict verdict = CheckAdmission(this->Get(number), call, now);
 		(*counts)[static_cast<size_t>(verdict.bound)]++;
 		// A probe may end, and a first report may come, at any moment.
-		bool soon = verdict.IsFree() || verdict.bound == Bound::Probed || verdict.bound == Bound::Unlisted;
+		bool soon = verdict.IsFree() || verdict.bound == Restriction::Probing || verdict.bound == Restriction::Unlisted;
 		free_at = std::min(free_at, soon ? now : verdict.until);
 	}
 	return free_at;
 }
 
-bool TargetTable::OnSigns(TargetNumber target, const TargetSigns &signs, TimePoint asked, TimePoint now)
+bool TargetTable::OnSignals(TargetNumber target, const TargetSignals &signals, TimePoint asked, TimePoint now)
 {
 	TargetState &state = this->targets[target.value];
 	// A shorter pause that is asked for later takes nothing from a longer one.
-	state.bounds.paused_until = std::max(state.bounds.paused_until, now + signs.pause);
-	return state.bounds.limit.OnAnswer(signs, asked, now);
+	state.restrictions.paused_until = std::max(state.restrictions.paused_until, now + signals.pause);
+	return state.restrictions.limit.OnAnswer(signals, asked, now);
 }
 
-void TargetTable::NoteRequest(TargetNumber target, TimePoint now)
+void TargetTable::OnRequestSent(TargetNumber target, TimePoint now)
 {
-	this->targets[target.value].bounds.OnSent(now);
+	this->targets[target.value].restrictions.OnSent(now);
 }
 
 } // namespace cottonspool
--- a/src/decision/target_prefill.cpp
+++ b/src/decision/target_prefill.cpp
@@ -7,41 +7,41 @@
 
 namespace cottonspool {
 
-static constexpr uint32_t PROMPT_RATE_LEAST = 256;    ///< Shortest prompt that tells how fast prompts are read.
-static constexpr double PROMPT_RATE_SMOOTHING = 0.05; ///< Weight of the newest such figure.
-static constexpr double PROMPT_RATE_MIN = 500;        ///< Least such figure believed, in tokens a second.
-static constexpr double PROMPT_RATE_MAX = 50000;      ///< Largest such figure believed, in tokens a second.
+static constexpr uint32_t PREFILL_SAMPLE_MIN_TOKENS = 256; ///< Shortest prompt that tells how fast prompts are read.
+static constexpr double PREFILL_RATE_SMOOTHING = 0.05;     ///< Weight of the newest such figure.
+static constexpr double PREFILL_RATE_MIN = 500;            ///< Least such figure believed, in tokens a second.
+static constexpr double PREFILL_RATE_MAX = 50000;          ///< Largest such figure believed, in tokens a second.
 
-void TargetTable::NotePromptSent(TargetState &target, InFlightCall &flight, TimePoint now) const
+void TargetTable::OnPrefillQueued(TargetState &target, InFlightCall &flight, TimePoint now) const
 {
 	if (!target.engine || flight.generated > 0) return;
-	flight.reads_alone = target.unread_prompts == 0;
-	if (flight.reads_alone) target.prompts_read_at = now;
-	target.unread_prompts++;
-	target.prompts_read_at = std::max(now, target.prompts_read_at) + FromSeconds(flight.call.prompt_tokens / this->prompt_rate);
+	flight.prefills_alone = target.pending_prefills == 0;
+	if (flight.prefills_alone) target.prefill_done_at = now;
+	target.pending_prefills++;
+	target.prefill_done_at = std::max(now, target.prefill_done_at) + FromSeconds(flight.call.prompt_tokens / this->prefill_rate);
 }
 
-void TargetTable::NotePromptRead(TargetState &target, const InFlightCall &flight, TimePoint now)
+void TargetTable::OnPrefillDone(TargetState &target, const InFlightCall &flight, TimePoint now)
 {
-	if (!target.engine || target.unread_prompts == 0) return;
-	target.unread_prompts--;
-	if (!flight.reads_alone || flight.generated == 0) return;
+	if (!target.engine || target.pending_prefills == 0) return;
+	target.pending_prefills--;
+	if (!flight.prefills_alone || flight.generated == 0) return;
 	double took = Seconds(now - flight.sent);
-	if (took <= 0 || flight.call.prompt_tokens < PROMPT_RATE_LEAST) return;
-	double rate = std::clamp(flight.call.prompt_tokens / took, PROMPT_RATE_MIN, PROMPT_RATE_MAX);
-	this->prompt_rate += PROMPT_RATE_SMOOTHING * (rate - this->prompt_rate);
+	if (took <= 0 || flight.call.prompt_tokens < PREFILL_SAMPLE_MIN_TOKENS) return;
+	double rate = std::clamp(flight.call.prompt_tokens / took, PREFILL_RATE_MIN, PREFILL_RATE_MAX);
+	this->prefill_rate += PREFILL_RATE_SMOOTHING * (rate - this->prefill_rate);
 }
 
-Duration TargetTable::ReadingWait(const TargetState &target, TimePoint now)
+Duration TargetTable::PrefillWait(const TargetState &target, TimePoint now)
 {
-	if (target.unread_prompts == 0) return Duration(0);
-	return std::max(Duration(0), std::chrono::duration_cast<Duration>(target.prompts_read_at - now));
+	if (target.pending_prefills == 0) return Duration(0);
+	return std::max(Duration(0), std::chrono::duration_cast<Duration>(target.prefill_done_at - now));
 }
 
 Duration TargetTable::FirstTokenWait(const TargetState &target, const CallSpec &call, TimePoint now) const
 {
-	Duration told = std::chrono::duration_cast<Duration>(target.told_read_at - now);
-	return std::max(told, ReadingWait(target, now)) + FromSeconds(call.prompt_tokens / this->prompt_rate);
+	Duration told = std::chrono::duration_cast<Duration>(target.remote_prefill_done_at - now);
+	return std::max(told, PrefillWait(target, now)) + FromSeconds(call.prompt_tokens / this->prefill_rate);
 }
 
 } // namespace cottonspool
--- a/src/decision/target_rate_limit.cpp
+++ b/src/decision/target_rate_limit.cpp
@@ -6,18 +6,18 @@
 
 namespace cottonspool {
 
-bool TargetLimit::OnAnswer(const TargetSigns &signs, TimePoint asked, TimePoint now)
+bool TargetRateLimit::OnAnswer(const TargetSignals &signals, TimePoint asked, TimePoint now)
 {
-	if (signs.limit == SignState::Unreadable) return false;
-	bool names = signs.limit == SignState::Said;
-	bool loosens = this->named && (!names || signs.limit_per_s > this->per_second);
+	if (signals.limit == SignalState::Unreadable) return false;
+	bool names = signals.limit == SignalState::Present;
+	bool loosens = this->named && (!names || signals.limit_per_s > this->per_second);
 	if (loosens && asked <= this->heard) return false;
-	bool changed = names != this->named || (names && signs.limit_per_s != this->per_second);
+	bool changed = names != this->named || (names && signals.limit_per_s != this->per_second);
 	// What was lent by a higher limit is more than the lower one bears.
-	if (names && this->named && signs.limit_per_s < this->per_second) this->leases.DropBorrowed();
+	if (names && this->named && signals.limit_per_s < this->per_second) this->leases.DropBorrowed();
 	this->named = names;
 	if (!names) return changed;
-	this->per_second = signs.limit_per_s;
+	this->per_second = signals.limit_per_s;
 	this->heard = now;
 	return changed;
 }
--- a/src/decision/target_rate_limit.h
+++ b/src/decision/target_rate_limit.h
@@ -11,17 +11,17 @@
 namespace cottonspool {
 
 /** Span in which a target that names a limit counts what it gets. */
-constexpr Duration LIMIT_SPAN = std::chrono::seconds(4);
+constexpr Duration RATE_LIMIT_WINDOW = std::chrono::seconds(4);
 
 /** One target's limit: the requests a second that it takes from all instances together, for as long as its answers say so. */
-class TargetLimit {
+class TargetRateLimit {
 public:
 	/**
 	 * The target answered a request that was asked at \a asked. Answers on several connections overtake each other, so one that names no
 	 * limit, or a higher one, counts only if it was asked after the limit was last heard; one that names a lower limit counts at once.
 	 * @return Whether the limit has changed.
 	 */
-	bool OnAnswer(const TargetSigns &signs, TimePoint asked, TimePoint now);
+	bool OnAnswer(const TargetSignals &signals, TimePoint asked, TimePoint now);
 
 	/** From now on this instance may send \a to_keep while a limit is named. */
 	void SetShare(RateShare to_keep)
@@ -40,43 +40,43 @@
 	uint32_t Allowance(TimePoint now) const
 	{
 		uint32_t lent = this->leases.Lent(now);
-		return this->share.most - std::min(this->share.most, lent) + this->leases.Borrowed(now);
+		return this->share.max_requests - std::min(this->share.max_requests, lent) + this->leases.Borrowed(now);
 	}
 
 	/** \a borrower wants \a wanted requests in a window; this instance itself wants \a own. @return What it gets. */
 	uint32_t Lend(const std::string &borrower, uint32_t wanted, uint32_t own, TimePoint now)
 	{
-		LeaseSource source{this->share.most, this->gate.SentLately(now), own, this->gate.Window()};
+		LendableShare source{this->share.max_requests, this->gate.SentInWindow(now), own, this->gate.Window()};
 		return this->named ? this->leases.Lend(borrower, wanted, source, now) : 0;
 	}
 
 	/** @return Whether this instance asks for parts of others' shares, if its callers could use \a demand requests in a window. */
 	bool WantsLeases(uint32_t demand, TimePoint now) const
 	{
-		return this->leases.Borrowed(now) > 0 || LimitLeases::IsShort(demand, this->Allowance(now));
+		return this->leases.Borrowed(now) > 0 || LimitLeases::NeedsMore(demand, this->Allowance(now));
 	}
 
 	/** @return What this instance asks \a owners for, which hold the shares of the limit, if its callers could use \a demand in a window.
 	 */
-	std::vector<LeaseAsk> Ask(const std::vector<std::string> &owners, uint32_t demand, TimePoint now)
+	std::vector<LeaseRequest> BuildRequests(const std::vector<std::string> &owners, uint32_t demand, TimePoint now)
 	{
-		return this->leases.Ask(owners, demand, this->Allowance(now), now);
+		return this->leases.BuildRequests(owners, demand, this->Allowance(now), now);
 	}
 
 	/** \a owner has answered ask \a number with \a granted. */
 	void OnGranted(const std::string &owner, uint64_t number, uint32_t granted) { this->leases.OnGranted(owner, number, granted); }
 
 	/** @return Whether the target names a limit. */
-	bool IsNamed() const { return this->named; }
+	bool IsActive() const { return this->named; }
 
 	/** @return When it was last named. */
-	TimePoint HeardAt() const { return this->heard; }
+	TimePoint LastReportedAt() const { return this->heard; }
 
 	/** @return What it bears; of use only while a limit is named. */
-	RateBound Bound() const { return {this->per_second, LIMIT_SPAN}; }
+	RateLimit Bound() const { return {this->per_second, RATE_LIMIT_WINDOW}; }
 
 	/** @return Whether this instance may send it a request at \a now. */
-	bool MaySend(TimePoint now) const { return !this->named || this->gate.SentLately(now) < this->Allowance(now); }
+	bool MaySend(TimePoint now) const { return !this->named || this->gate.SentInWindow(now) < this->Allowance(now); }
 
 	/** @return When this instance may send it a request at the earliest, unless the limit changes; max() if it has no share. */
 	TimePoint FreeAt(TimePoint now) const { return this->named ? this->gate.FreeAt(this->Allowance(now), now) : now; }
@@ -85,12 +85,12 @@
 	void OnSent(TimePoint now) { this->gate.OnSent(now); }
 
 private:
-	RateShare share{0, LIMIT_SPAN}; ///< This instance's own share.
-	RateGate gate{LIMIT_SPAN};      ///< What it has sent.
-	LimitLeases leases;             ///< Parts of shares lent and borrowed.
-	bool named = false;             ///< A limit is named.
-	double per_second = 0;          ///< Requests a second.
-	TimePoint heard;                ///< When it was last named.
+	RateShare share{0, RATE_LIMIT_WINDOW}; ///< This instance's own share.
+	RateGate gate{RATE_LIMIT_WINDOW};      ///< What it has sent.
+	LimitLeases leases;                    ///< Parts of shares lent and borrowed.
+	bool named = false;                    ///< A limit is named.
+	double per_second = 0;                 ///< Requests a second.
+	TimePoint heard;                       ///< When it was last named.
 };
 
 } // namespace cottonspool
--- a/src/decision/target_registry.cpp
+++ b/src/decision/target_registry.cpp
@@ -8,16 +8,16 @@
 
 namespace cottonspool {
 
-void TargetRegistry::Judge(Entry &entry, const char *source, bool changed, TimePoint now, std::vector<TargetEvent> &events)
+void TargetRegistry::UpdateUsable(Entry &entry, const char *source, bool changed, TimePoint now, std::vector<TargetEvent> &events)
 {
 	bool usable = !entry.departed && (!entry.missing || now < entry.usable_until);
 	bool told = usable == entry.usable && !changed;
 	entry.usable = usable;
 	if (told) return;
-	events.push_back({usable ? TargetChange::Usable : TargetChange::Leaving, entry.target, source});
+	events.push_back({usable ? TargetChange::EligibleTargets : TargetChange::Draining, entry.target, source});
 }
 
-void TargetRegistry::End(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events)
+void TargetRegistry::Terminate(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events)
 {
 	if (!entry.missing) entry.missing_since = now;
 	bool was_usable = entry.usable;
@@ -25,75 +25,76 @@
 	entry.usable = false;
 	entry.usable_until = TimePoint{};
 	// One that left is still finishing what it has, until it ends.
-	if (was_usable || !entry.ended) events.push_back({TargetChange::Ended, entry.target, source});
+	if (was_usable || !entry.ended) events.push_back({TargetChange::Terminated, entry.target, source});
 	entry.ended = true;
 }
 
-void TargetRegistry::Note(const ListedTarget &target, bool whole, TimePoint now, std::vector<TargetEvent> &events)
+void TargetRegistry::ApplyRow(const ListedTarget &target, bool full, TimePoint now, std::vector<TargetEvent> &events)
 {
-	std::string name = target.life.Name();
+	std::string name = target.incarnation.Name();
 	// A row of a life that has ended, told late: the one that followed it stays.
 	auto known = this->entries.find(name);
 	if (known != this->entries.end() && known->second.ended) return;
 	// A change is the target's own word; in the whole list its row may be what a copy of the store had not forgotten.
-	bool doubted = known != this->entries.end() && known->second.missing && now < known->second.doubted_until;
-	if (doubted && whole && target.sequence <= known->second.target.sequence) {
-		known->second.listed_anew = true;
+	bool doubted = known != this->entries.end() && known->second.missing && now < known->second.distrusted_until;
+	if (doubted && full && target.sequence <= known->second.target.sequence) {
+		known->second.relisted = true;
 		return;
 	}
-	std::string &newest = this->newest[target.life.id];
+	std::string &newest = this->newest[target.incarnation.id];
 	auto former = newest == name ? this->entries.end() : this->entries.find(newest);
-	if (former != this->entries.end()) this->End(former->second, "other-life", now, events);
+	if (former != this->entries.end()) this->Terminate(former->second, "other-life", now, events);
 	newest = name;
 	auto [found, added] = this->entries.try_emplace(name);
 	Entry &entry = found->second;
-	bool changed = added || !entry.target.SaysSameAs(target);
+	bool changed = added || !entry.target.HasSameContent(target);
 	bool was_departed = entry.departed;
 	entry.target = target;
-	entry.missing = entry.listed_anew = false;
-	entry.departed = entry.departed || target.leaving;
+	entry.missing = entry.relisted = false;
+	entry.departed = entry.departed || target.draining;
 	if (added) entry.usable = !entry.departed;
 	// A departed target that changes its row again says nothing new.
 	if (was_departed) return;
-	this->Judge(entry, target.leaving ? "notice" : "listed", changed, now, events);
+	this->UpdateUsable(entry, target.draining ? "notice" : "listed", changed, now, events);
 }
 
-void TargetRegistry::NoteMissing(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events)
+void TargetRegistry::MarkMissing(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events)
 {
-	entry.listed_anew = false;
+	entry.relisted = false;
 	if (!entry.missing) {
 		entry.missing = true;
 		entry.missing_since = now;
-		entry.usable_until = this->lapse_until;
+		entry.usable_until = this->expiry_grace_until;
 	}
-	this->Judge(entry, source, false, now, events);
+	this->UpdateUsable(entry, source, false, now, events);
 }
 
-void TargetRegistry::NoteAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events)
+void TargetRegistry::MarkAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events)
 {
 	// Many rows that go at once without notice have lapsed while the store was away, even if its absence went unnoticed here.
 	auto unannounced = [](const Entry *entry) { return !entry->missing && !entry->departed; };
 	size_t newly = static_cast<size_t>(std::count_if(gone.begin(), gone.end(), unannounced));
 	auto usable = std::count_if(this->entries.begin(), this->entries.end(), [](const auto &entry) { return entry.second.usable; });
-	bool lapse = newly >= this->limits.lapse_least && static_cast<double>(newly) >= this->limits.lapse_part * static_cast<double>(usable);
-	if (lapse) this->lapse_until = std::max(this->lapse_until, now + this->limits.lapse_grace);
-	for (Entry *entry : gone) this->NoteMissing(*entry, source, now, events);
+	bool lapse = newly >= this->limits.mass_expiry_min_rows &&
+	             static_cast<double>(newly) >= this->limits.mass_expiry_min_fraction * static_cast<double>(usable);
+	if (lapse) this->expiry_grace_until = std::max(this->expiry_grace_until, now + this->limits.expiry_grace);
+	for (Entry *entry : gone) this->MarkMissing(*entry, source, now, events);
 }
 
-std::vector<TargetEvent> TargetRegistry::OnAll(const std::vector<TargetRow> &rows, TimePoint now)
+std::vector<TargetEvent> TargetRegistry::OnFullList(const std::vector<TargetRow> &rows, TimePoint now)
 {
 	std::vector<TargetEvent> events;
 	std::set<std::string> seen;
 	for (const TargetRow &row : rows) {
 		if (!row.target) continue;
-		seen.insert(row.target->life.Name());
-		this->Note(*row.target, true, now, events);
+		seen.insert(row.target->incarnation.Name());
+		this->ApplyRow(*row.target, true, now, events);
 	}
 	std::vector<Entry *> gone;
 	for (auto &[name, entry] : this->entries) {
 		if (!seen.contains(name)) gone.push_back(&entry);
 	}
-	this->NoteAllMissing(gone, "not-listed", now, events);
+	this->MarkAllMissing(gone, "not-listed", now, events);
 	return events;
 }
 
@@ -103,45 +104,45 @@
 	std::vector<Entry *> gone;
 	for (const TargetRow &row : rows) {
 		if (row.target) {
-			this->Note(*row.target, false, now, events);
+			this->ApplyRow(*row.target, false, now, events);
 			continue;
 		}
 		auto newest = this->newest.find(row.id);
 		auto found = newest == this->newest.end() ? this->entries.end() : this->entries.find(newest->second);
 		if (found != this->entries.end()) gone.push_back(&found->second);
 	}
-	this->NoteAllMissing(gone, "removed", now, events);
+	this->MarkAllMissing(gone, "removed", now, events);
 	return events;
 }
 
-std::vector<TargetEvent> TargetRegistry::OnOwnNotice(const std::string &name, const char *source, TimePoint now)
+std::vector<TargetEvent> TargetRegistry::OnDrainNotice(const std::string &name, const char *source, TimePoint now)
 {
 	std::vector<TargetEvent> events;
 	auto found = this->entries.find(name);
 	if (found == this->entries.end()) return events;
 	found->second.departed = true;
-	this->Judge(found->second, source, false, now, events);
+	this->UpdateUsable(found->second, source, false, now, events);
 	return events;
 }
 
-std::vector<TargetEvent> TargetRegistry::OnOtherLife(const std::string &name, TimePoint now)
+std::vector<TargetEvent> TargetRegistry::OnOtherIncarnation(const std::string &name, TimePoint now)
 {
 	std::vector<TargetEvent> events;
 	auto found = this->entries.find(name);
-	if (found != this->entries.end()) this->End(found->second, "other-life", now, events);
+	if (found != this->entries.end()) this->Terminate(found->second, "other-life", now, events);
 	return events;
 }
 
-void TargetRegistry::OnStoreRegained(TimePoint now)
+void TargetRegistry::OnStoreReconnected(TimePoint now)
 {
-	this->lapse_until = now + this->limits.lapse_grace;
+	this->expiry_grace_until = now + this->limits.expiry_grace;
 }
 
-void TargetRegistry::OnOtherStore(TimePoint now)
+void TargetRegistry::OnStoreRestored(TimePoint now)
 {
-	this->OnStoreRegained(now);
+	this->OnStoreReconnected(now);
 	for (auto &[name, entry] : this->entries) {
-		if (entry.missing && !entry.usable) entry.doubted_until = now + this->limits.copy_doubted;
+		if (entry.missing && !entry.usable) entry.distrusted_until = now + this->limits.restore_distrust_period;
 	}
 }
 
@@ -150,10 +151,10 @@
 	std::vector<TargetEvent> events;
 	for (auto it = this->entries.begin(); it != this->entries.end();) {
 		Entry &entry = it->second;
-		if (entry.listed_anew && now >= entry.doubted_until) entry.missing = entry.listed_anew = false;
-		if (entry.missing || !entry.usable) this->Judge(entry, entry.missing ? "lapsed" : "listed", false, now, events);
-		bool forget = entry.missing && !entry.usable && now - entry.missing_since > this->limits.remembered;
-		if (forget && this->newest[entry.target.life.id] == it->first) this->newest.erase(entry.target.life.id);
+		if (entry.relisted && now >= entry.distrusted_until) entry.missing = entry.relisted = false;
+		if (entry.missing || !entry.usable) this->UpdateUsable(entry, entry.missing ? "lapsed" : "listed", false, now, events);
+		bool forget = entry.missing && !entry.usable && now - entry.missing_since > this->limits.departed_retention;
+		if (forget && this->newest[entry.target.incarnation.id] == it->first) this->newest.erase(entry.target.incarnation.id);
 		it = forget ? this->entries.erase(it) : std::next(it);
 	}
 	return events;
--- a/src/decision/target_registry.h
+++ b/src/decision/target_registry.h
@@ -11,16 +11,16 @@
 
 /** What became of a target. */
 enum class TargetChange : uint8_t {
-	Usable,  ///< New, changed or back: may be used as described.
-	Leaving, ///< Gets nothing new; what runs there may still finish or move.
-	Ended,   ///< Has ended: what was under way there has failed, and may have run.
+	EligibleTargets, ///< New, changed or back: may be used as described.
+	Draining,        ///< Gets nothing new; what runs there may still finish or move.
+	Terminated,      ///< Has ended: what was under way there has failed, and may have run.
 };
 
 /** One change of the registry. */
 struct TargetEvent {
-	TargetChange change = TargetChange::Usable; ///< What became of it.
-	ListedTarget target;                        ///< Target as last seen.
-	const char *source = "";                    ///< What told it, for logs.
+	TargetChange change = TargetChange::EligibleTargets; ///< What became of it.
+	ListedTarget target;                                 ///< Target as last seen.
+	const char *source = "";                             ///< What told it, for logs.
 };
 
 /** One row of the list: what a target says of itself, or that its row is gone. */
@@ -31,15 +31,15 @@
 
 /** Times of the registry. */
 struct RegistryLimits {
-	Duration lapse_grace = std::chrono::seconds(2); ///< Time after the store's return in which live targets re-enter their rows.
-	Duration remembered = std::chrono::minutes(2);  ///< Time for which a departed target's name is remembered.
+	Duration expiry_grace = std::chrono::seconds(2);       ///< Time after the store's return in which live targets re-enter their rows.
+	Duration departed_retention = std::chrono::minutes(2); ///< Time for which a departed target's name is remembered.
 	/**
 	 * Time after the return of a store from a copy in which a row of it names no target that was gone before: what the copy had not
 	 * forgotten yet is removed again, and a target that leaves without notice serves on for many seconds.
 	 */
-	Duration copy_doubted = std::chrono::seconds(30);
-	size_t lapse_least = 3;   ///< Rows gone without notice at once from which it may be a lapse.
-	double lapse_part = 0.34; ///< Part of all usable targets from which it is taken for one.
+	Duration restore_distrust_period = std::chrono::seconds(30);
+	size_t mass_expiry_min_rows = 3;        ///< Rows gone without notice at once from which it may be a lapse.
+	double mass_expiry_min_fraction = 0.34; ///< Part of all usable targets from which it is taken for one.
 };
 
 /**
@@ -53,7 +53,7 @@
 	explicit TargetRegistry(RegistryLimits limits) : limits(limits) {}
 
 	/** The whole list was read. */
-	std::vector<TargetEvent> OnAll(const std::vector<TargetRow> &rows, TimePoint now);
+	std::vector<TargetEvent> OnFullList(const std::vector<TargetRow> &rows, TimePoint now);
 
 	/** Rows were written or removed. */
 	std::vector<TargetEvent> OnChanges(const std::vector<TargetRow> &rows, TimePoint now);
@@ -62,16 +62,16 @@
 	 * The life \a name of a target itself says that it leaves, ahead of the list: final, whatever the list shows then or later.
 	 * @param source What told it, for logs.
 	 */
-	std::vector<TargetEvent> OnOwnNotice(const std::string &name, const char *source, TimePoint now);
+	std::vector<TargetEvent> OnDrainNotice(const std::string &name, const char *source, TimePoint now);
 
 	/** Another life answers where the life \a name of a target was. */
-	std::vector<TargetEvent> OnOtherLife(const std::string &name, TimePoint now);
+	std::vector<TargetEvent> OnOtherIncarnation(const std::string &name, TimePoint now);
 
 	/** The store answers again. */
-	void OnStoreRegained(TimePoint now);
+	void OnStoreReconnected(TimePoint now);
 
 	/** The store has come back from a copy; the whole list follows. */
-	void OnOtherStore(TimePoint now);
+	void OnStoreRestored(TimePoint now);
 
 	/** Time has passed. */
 	std::vector<TargetEvent> OnTick(TimePoint now);
@@ -82,27 +82,27 @@
 private:
 	/** One target. */
 	struct Entry {
-		ListedTarget target;      ///< As last seen.
-		bool departed = false;    ///< Said that it leaves, or has ended: final.
-		bool ended = false;       ///< Its end was told.
-		bool missing = false;     ///< Its row is gone.
-		bool usable = true;       ///< As last told.
-		TimePoint missing_since;  ///< When its row went.
-		TimePoint usable_until;   ///< While its row is missing after an outage: used until then.
-		TimePoint doubted_until;  ///< It was gone before the store came back from a copy: a row as it was is not believed until then.
-		bool listed_anew = false; ///< Such a row is in the list.
+		ListedTarget target;        ///< As last seen.
+		bool departed = false;      ///< Said that it leaves, or has ended: final.
+		bool ended = false;         ///< Its end was told.
+		bool missing = false;       ///< Its row is gone.
+		bool usable = true;         ///< As last told.
+		TimePoint missing_since;    ///< When its row went.
+		TimePoint usable_until;     ///< While its row is missing after an outage: used until then.
+		TimePoint distrusted_until; ///< It was gone before the store came back from a copy: a row as it was is not believed until then.
+		bool relisted = false;      ///< Such a row is in the list.
 	};
 
-	void End(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
-	void Judge(Entry &entry, const char *source, bool changed, TimePoint now, std::vector<TargetEvent> &events);
-	void NoteMissing(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
-	void Note(const ListedTarget &target, bool whole, TimePoint now, std::vector<TargetEvent> &events);
-	void NoteAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	void Terminate(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	void UpdateUsable(Entry &entry, const char *source, bool changed, TimePoint now, std::vector<TargetEvent> &events);
+	void MarkMissing(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	void ApplyRow(const ListedTarget &target, bool full, TimePoint now, std::vector<TargetEvent> &events);
+	void MarkAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events);
 
 	RegistryLimits limits;                     ///< Times.
 	std::map<std::string, Entry> entries;      ///< Lives of targets by name.
 	std::map<std::string, std::string> newest; ///< The life that was listed last, by id.
-	TimePoint lapse_until;                     ///< Until then missing rows may come back.
+	TimePoint expiry_grace_until;              ///< Until then missing rows may come back.
 };
 
 } // namespace cottonspool
--- a/src/decision/target_restrictions.cpp
+++ b/src/decision/target_restrictions.cpp
@@ -6,39 +6,39 @@
 
 namespace cottonspool {
 
-const char *BoundName(Bound bound)
+const char *RestrictionName(Restriction bound)
 {
-	static constexpr std::array<const char *, BOUND_COUNT> NAMES{"none",    "other-pool", "other-hall", "unlisted", "leaving", "emptied",
-	                                                             "ejected", "probed",     "pause",      "cold",     "limit"};
+	static constexpr std::array<const char *, RESTRICTION_COUNT> NAMES{
+	        "none", "other-pool", "other-hall", "unlisted", "leaving", "emptied", "ejected", "probed", "pause", "cold", "limit"};
 	return NAMES[static_cast<size_t>(bound)];
 }
 
-std::string FormatBounds(const BoundCounts &counts)
+std::string FormatRestrictions(const RestrictionCounts &counts)
 {
 	std::string text;
-	for (size_t i = 0; i < BOUND_COUNT; i++) {
+	for (size_t i = 0; i < RESTRICTION_COUNT; i++) {
 		if (counts[i] == 0) continue;
 		if (!text.empty()) text += ',';
-		text += std::string(BoundName(static_cast<Bound>(i))) + ':' + std::to_string(counts[i]);
+		text += std::string(RestrictionName(static_cast<Restriction>(i))) + ':' + std::to_string(counts[i]);
 	}
 	return text;
 }
 
-BoundVerdict TargetBounds::Judge(TimePoint now, bool avoid_cold) const
+AdmissionVerdict TargetRestrictions::CheckAdmission(TimePoint now, bool exclude_cold) const
 {
-	if (!this->known || !this->ready) return {Bound::Unlisted};
-	if (this->leaving) return {Bound::Leaving};
-	if (this->emptied) return {Bound::Emptied};
-	if (now < this->ejected_until) return {Bound::Ejected, this->ejected_until};
-	if (this->probing) return {Bound::Probed};
-	if (now < this->paused_until) return {Bound::Pause, this->paused_until};
+	if (!this->known || !this->ready) return {Restriction::Unlisted};
+	if (this->draining) return {Restriction::Draining};
+	if (this->evacuated) return {Restriction::Evacuated};
+	if (now < this->ejected_until) return {Restriction::Ejected, this->ejected_until};
+	if (this->probing) return {Restriction::Probing};
+	if (now < this->paused_until) return {Restriction::Paused, this->paused_until};
 	bool cold = this->cold.IsCold(now);
-	if (cold && (avoid_cold || !this->cold.MaySend(now))) return {Bound::Cold, this->cold.FreeAt(now)};
-	if (!this->limit.MaySend(now)) return {Bound::Limit, this->limit.FreeAt(now)};
+	if (cold && (exclude_cold || !this->cold.MaySend(now))) return {Restriction::Cold, this->cold.FreeAt(now)};
+	if (!this->limit.MaySend(now)) return {Restriction::Limit, this->limit.FreeAt(now)};
 	return {};
 }
 
-void TargetBounds::OnSent(TimePoint now)
+void TargetRestrictions::OnSent(TimePoint now)
 {
 	this->cold.OnSent(now);
 	this->limit.OnSent(now);
--- a/src/decision/target_restrictions.h
+++ b/src/decision/target_restrictions.h
@@ -12,22 +12,22 @@
 namespace cottonspool {
 
 /** All that keeps requests from one target, whatever the request. */
-struct TargetBounds {
+struct TargetRestrictions {
 	bool known = false;      ///< The configuration in force names it.
 	bool ready = false;      ///< It has reported at least once, or is a service without reports.
-	bool leaving = false;    ///< Gets nothing new; see TargetTable::MarkLeaving().
-	bool emptied = false;    ///< Its hall is emptied: gets nothing new until that is taken back.
+	bool draining = false;   ///< Gets nothing new; see TargetTable::MarkDraining().
+	bool evacuated = false;  ///< Its hall is emptied: gets nothing new until that is taken back.
 	TimePoint ejected_until; ///< Gets nothing new before this.
 	bool probing = false;    ///< One call is on its way to find out whether it is well again.
 	TimePoint paused_until;  ///< It has asked this instance for nothing before.
 	ColdStart cold;          ///< Keeps what it gets while it is cold to what it bears.
-	TargetLimit limit;       ///< Keeps what it gets to the limit that it names.
+	TargetRateLimit limit;   ///< Keeps what it gets to the limit that it names.
 
 	/**
-	 * @param avoid_cold A cold target gets nothing at all.
+	 * @param exclude_cold A cold target gets nothing at all.
 	 * @return Whether it may get a request at \a now.
 	 */
-	BoundVerdict Judge(TimePoint now, bool avoid_cold) const;
+	AdmissionVerdict CheckAdmission(TimePoint now, bool exclude_cold) const;
 
 	/** A request of this instance goes there. */
 	void OnSent(TimePoint now);
