--- a/src/decision/target_table.cpp
+++ b/src/decision/target_table.cpp
@@ -9,16 +9,16 @@
 
 namespace cottonspool {
 
-static constexpr uint32_t RESIDUAL_REFRESH_TOKENS = 16;                ///< Tokens after which the expected rest of a call is computed anew.
-static constexpr double GROWTH_ON_PREEMPTION = 1.25;                   ///< Factor on the reserved growth after a report with preemptions.
-static constexpr double GROWTH_ON_QUIET = 0.98;                        ///< Factor on the reserved growth after a report without.
-static constexpr double SHARE_ON_PREEMPTION = 0.5;                     ///< Factor on the share factor after a report with preemptions.
-static constexpr double SHARE_ON_QUIET = 1.03;                         ///< Factor on the share factor after a report without.
-static constexpr double INTERVAL_SMOOTHING = 0.05;                     ///< Weight of the newest time between tokens.
-static constexpr double RESIDUAL_SMOOTHING = 0.02;                     ///< Weight of the newest residual.
-static constexpr Duration SENT_PREFIX_LIFE = std::chrono::seconds(10); ///< Time for which a prefix sent is believed to be cached.
-static constexpr size_t MAX_SENT_PREFIXES = 64;                        ///< Most of them remembered.
-static constexpr double TURN_PART = 0.5;                               ///< Part of the headroom that goes to one instance in turn.
+static constexpr uint32_t RESIDUAL_REFRESH_TOKENS = 16;               ///< Tokens after which the expected rest of a call is computed anew.
+static constexpr double GROWTH_ON_PREEMPTION = 1.25;                  ///< Factor on the reserved growth after a report with preemptions.
+static constexpr double GROWTH_WITHOUT_PREEMPTION = 0.98;             ///< Factor on the reserved growth after a report without.
+static constexpr double SHARE_ON_PREEMPTION = 0.5;                    ///< Factor on the share factor after a report with preemptions.
+static constexpr double SHARE_WITHOUT_PREEMPTION = 1.03;              ///< Factor on the share factor after a report without.
+static constexpr double INTERVAL_SMOOTHING = 0.05;                    ///< Weight of the newest time between tokens.
+static constexpr double RESIDUAL_SMOOTHING = 0.02;                    ///< Weight of the newest residual.
+static constexpr Duration SENT_PREFIX_TTL = std::chrono::seconds(10); ///< Time for which a prefix sent is believed to be cached.
+static constexpr size_t MAX_SENT_PREFIXES = 64;                       ///< Most of them remembered.
+static constexpr double TURN_FRACTION = 0.5;                          ///< Part of the headroom that goes to one instance in turn.
 
 TargetNumber TargetTable::Configure(std::string_view name, std::string_view hall, const std::vector<ModelNumber> &models, bool engine)
 {
@@ -30,12 +30,12 @@
 	}
 	TargetState &target = this->targets[entry->second.value];
 	target.hall = hall;
-	target.bounds.emptied = this->emptied_halls.contains(target.hall);
+	target.restrictions.evacuated = this->evacuated_halls.contains(target.hall);
 	target.engine = engine;
 	std::set<ModelNumber> wanted(models.begin(), models.end());
-	bool same = target.bounds.known && target.models == wanted;
+	bool same = target.restrictions.known && target.models == wanted;
 	target.models = std::move(wanted);
-	target.bounds.known = true;
+	target.restrictions.known = true;
 	// Each configuration names every target again: thousands of them would rebuild the index thousands of times.
 	if (!same) this->RebuildIndex();
 	return entry->second;
@@ -43,8 +43,8 @@
 
 void TargetTable::Forget(TargetNumber target)
 {
-	if (!this->targets[target.value].bounds.known) return;
-	this->targets[target.value].bounds.known = false;
+	if (!this->targets[target.value].restrictions.known) return;
+	this->targets[target.value].restrictions.known = false;
 	this->RebuildIndex();
 }
 
@@ -52,28 +52,28 @@
 {
 	this->by_model.clear();
 	for (uint32_t i = 0; i < this->Size(); i++) {
-		if (!this->targets[i].bounds.known) continue;
+		if (!this->targets[i].restrictions.known) continue;
 		for (ModelNumber model : this->targets[i].models) this->by_model[model.value].push_back(TargetNumber{i});
 	}
 }
 
-void TargetTable::MarkLeaving(TargetNumber target)
+void TargetTable::MarkDraining(TargetNumber target)
 {
-	this->targets[target.value].bounds.leaving = true;
+	this->targets[target.value].restrictions.draining = true;
 }
 
-void TargetTable::ClearLeaving(TargetNumber target)
+void TargetTable::ClearDraining(TargetNumber target)
 {
-	this->targets[target.value].bounds.leaving = false;
+	this->targets[target.value].restrictions.draining = false;
 }
 
 void TargetTable::UpdateGrowth(TargetState &target, const LoadReport &report)
 {
 	if (!this->limits.use_growth_feedback) return;
 	bool preempted = report.preemptions > target.report.preemptions;
-	target.growth *= preempted ? GROWTH_ON_PREEMPTION : GROWTH_ON_QUIET;
+	target.growth *= preempted ? GROWTH_ON_PREEMPTION : GROWTH_WITHOUT_PREEMPTION;
 	target.growth = std::clamp(target.growth, this->limits.growth_min, this->limits.growth_max);
-	target.share_factor *= preempted ? SHARE_ON_PREEMPTION : SHARE_ON_QUIET;
+	target.share_factor *= preempted ? SHARE_ON_PREEMPTION : SHARE_WITHOUT_PREEMPTION;
 	target.share_factor = std::clamp(target.share_factor, 1.0, this->limits.share_max);
 }
 
@@ -81,16 +81,16 @@
 {
 	TargetState &target = this->targets[number.value];
 	bool restarted = target.report.incarnation != report.incarnation;
-	if (!restarted && target.bounds.ready && report.sequence <= target.report.sequence) return;
+	if (!restarted && target.restrictions.ready && report.sequence <= target.report.sequence) return;
 	if (restarted) {
 		target.sent_prefixes.clear();
 	} else {
 		this->UpdateGrowth(target, report);
 	}
-	if (report.leaving) target.bounds.leaving = true;
+	if (report.draining) target.restrictions.draining = true;
 	target.report = report;
 	target.report_at = now;
-	target.bounds.ready = true;
+	target.restrictions.ready = true;
 	target.known_at_report = 0;
 	target.known_calls_at_report = 0;
 	target.sent_since_report = 0;
@@ -106,17 +106,17 @@
 	}
 	target.reported_prefixes = std::set<uint64_t>(report.prefixes.begin(), report.prefixes.end());
 	target.report.prefixes.clear();
-	while (!target.sent_prefixes.empty() && target.sent_prefixes.front().second + SENT_PREFIX_LIFE < now) target.sent_prefixes.pop_front();
+	while (!target.sent_prefixes.empty() && target.sent_prefixes.front().second + SENT_PREFIX_TTL < now) target.sent_prefixes.pop_front();
 }
 
-void TargetTable::SetUnreported(TargetNumber number, uint64_t slots)
+void TargetTable::SetServiceCapacity(TargetNumber number, uint64_t slots)
 {
 	TargetState &target = this->targets[number.value];
-	target.bounds.ready = true;
+	target.restrictions.ready = true;
 	if (target.report.capacity_tokens == 0) target.report.capacity_tokens = slots;
 }
 
-void TargetTable::OnForeignSent(TargetNumber number, const CallSpec &call, TimePoint now, uint32_t generated)
+void TargetTable::OnPeerCallSent(TargetNumber number, const CallSpec &call, TimePoint now, uint32_t generated)
 {
 	TargetState &target = this->targets[number.value];
 	InFlightCall flight{call, generated, call.generated ? this->lengths.Residual(call, generated) : 0, now, now};
@@ -125,7 +125,7 @@
 	if (call.prefix != 0) target.sent_prefixes.emplace_back(call.prefix, now);
 	if (target.sent_prefixes.size() > MAX_SENT_PREFIXES) target.sent_prefixes.pop_front();
 	target.sent_since_report += call.prompt_tokens + generated + target.growth * flight.residual;
-	this->NotePromptSent(target, flight, now);
+	this->OnPrefillQueued(target, flight, now);
 	target.in_flight.emplace(call.id, std::move(flight));
 }
 
@@ -142,12 +142,12 @@
 	this->AddTokens(target, flight, now, tokens);
 }
 
-void TargetTable::OnForeignToken(TargetNumber number, CallId call, TimePoint now, uint32_t tokens)
+void TargetTable::OnPeerCallToken(TargetNumber number, CallId call, TimePoint now, uint32_t tokens)
 {
 	TargetState &target = this->targets[number.value];
 	auto found = target.in_flight.find(call);
 	if (found == target.in_flight.end()) return;
-	found->second.reads_alone = false;
+	found->second.prefills_alone = false;
 	this->AddTokens(target, found->second, now, tokens);
 }
 
@@ -156,7 +156,7 @@
 	flight.last_token = now;
 	uint32_t before = flight.generated;
 	flight.generated += tokens;
-	if (before == 0) this->NotePromptRead(target, flight, now);
+	if (before == 0) this->OnPrefillDone(target, flight, now);
 	target.known_tokens += tokens;
 	double residual = std::max(0.0, flight.residual - tokens);
 	if (before / RESIDUAL_REFRESH_TOKENS != flight.generated / RESIDUAL_REFRESH_TOKENS) {
@@ -167,7 +167,7 @@
 	flight.residual = residual;
 }
 
-void TargetTable::OnMoved(TargetNumber from, TargetNumber to, CallId call, TimePoint now)
+void TargetTable::OnMigrated(TargetNumber from, TargetNumber to, CallId call, TimePoint now)
 {
 	TargetState &source = this->targets[from.value];
 	TargetState &target = this->targets[to.value];
@@ -176,8 +176,8 @@
 	InFlightCall flight = std::move(found->second);
 	source.in_flight.erase(found);
 	// How its run would have ended there is not told any more.
-	source.bounds.probing = false;
-	if (flight.generated == 0) this->NotePromptRead(source, flight, now);
+	source.restrictions.probing = false;
+	if (flight.generated == 0) this->OnPrefillDone(source, flight, now);
 	double held = flight.call.prompt_tokens + flight.generated;
 	source.known_tokens -= held;
 	source.known_residual -= flight.residual;
@@ -190,17 +190,17 @@
 	target.in_flight.emplace(call, std::move(flight));
 }
 
-void TargetTable::OnForeignEnded(TargetNumber number, CallId call, TimePoint now)
+void TargetTable::OnPeerCallEnded(TargetNumber number, CallId call, TimePoint now)
 {
-	this->TakeOut(this->targets[number.value], call, now);
+	this->RemoveCall(this->targets[number.value], call, now);
 }
 
-uint32_t TargetTable::TakeOut(TargetState &target, CallId call, TimePoint now)
+uint32_t TargetTable::RemoveCall(TargetState &target, CallId call, TimePoint now)
 {
 	auto found = target.in_flight.find(call);
 	if (found == target.in_flight.end()) return 0;
 	uint32_t generated = found->second.generated;
-	if (generated == 0) this->NotePromptRead(target, found->second, now);
+	if (generated == 0) this->OnPrefillDone(target, found->second, now);
 	target.known_tokens -= found->second.call.prompt_tokens + generated;
 	target.known_residual -= found->second.residual;
 	target.in_flight.erase(found);
@@ -216,7 +216,7 @@
 
 double TargetTable::OthersCommitted(const TargetState &target, TimePoint now) const
 {
-	HeldLoad others = OthersAt(target, now);
+	HeldLoad others = OthersLoadAt(target, now);
 	if (!target.engine) return others.tokens;
 	return others.tokens + target.growth * others.calls * this->mean_residual;
 }
@@ -237,7 +237,7 @@
 
 bool TargetTable::HasTurn(const TargetState &target) const
 {
-	return HashText(target.name, target.report.sequence) % this->instances == this->rank;
+	return HashText(target.name, target.report.sequence) % this->instances == this->instance_index;
 }
 
 double TargetTable::Allowance(const TargetState &target, const CallSpec &call, TimePoint now) const
@@ -252,13 +252,13 @@
 	double free = capacity - own - this->OthersCommitted(target, now);
 	if (!this->limits.use_shares || this->instances <= 1) return free;
 	double at_report = std::max(0.0, free + target.sent_since_report);
-	double share = target.share_factor * ((1 - TURN_PART) / this->instances + (this->HasTurn(target) ? TURN_PART : 0));
+	double share = target.share_factor * ((1 - TURN_FRACTION) / this->instances + (this->HasTurn(target) ? TURN_FRACTION : 0));
 	return std::min(free, at_report * std::min(share, 1.0) - target.sent_since_report);
 }
 
 void TargetTable::SetInstances(uint32_t new_rank, uint32_t count)
 {
-	this->rank = new_rank;
+	this->instance_index = new_rank;
 	this->instances = std::max<uint32_t>(count, 1);
 }
 
--- a/src/gateway/crash_records.cpp
+++ b/src/gateway/crash_records.cpp
@@ -9,66 +9,67 @@
 
 namespace cottonspool {
 
-static const char *const END_TABLE = "cottonspool-ends"; ///< Table of ends.
-static constexpr char KEY_SEPARATOR = '/';               ///< Between the fingerprint and the life in a key.
+static const char *const CRASH_TABLE = "cottonspool-ends"; ///< Table of ends.
+static constexpr char KEY_SEPARATOR = '/';                 ///< Between the fingerprint and the life in a key.
 
-std::string EndKey(const EndRecord &end)
+std::string CrashKey(const CrashRecord &end)
 {
-	return PrintText(end.print) + KEY_SEPARATOR + end.life;
+	return FormatFingerprint(end.fingerprint) + KEY_SEPARATOR + end.incarnation;
 }
 
-std::optional<EndRecord> ParseEndKey(std::string_view key)
+std::optional<CrashRecord> ParseCrashKey(std::string_view key)
 {
 	size_t separator = key.find(KEY_SEPARATOR);
 	if (separator == std::string_view::npos || separator + 1 == key.size()) return std::nullopt;
-	std::optional<RequestPrint> print = ParsePrint(key.substr(0, separator));
-	if (!print) return std::nullopt;
-	return EndRecord{*print, std::string(key.substr(separator + 1))};
+	std::optional<RequestFingerprint> fingerprint = ParseFingerprint(key.substr(0, separator));
+	if (!fingerprint) return std::nullopt;
+	return CrashRecord{*fingerprint, std::string(key.substr(separator + 1))};
 }
 
-EndRecords::EndRecords(TableStore &store, WatchLimits watch_limits, EndRecordLimits limits, std::string own_name, Handler handler)
-    : store(store), limits(limits), own_name(std::move(own_name)), handler(std::move(handler)), watch(store, END_TABLE, watch_limits)
+CrashRecordStore::CrashRecordStore(TableStore &store, WatchLimits watch_limits, CrashRecordLimits limits, std::string own_name,
+                                   Handler handler)
+    : store(store), limits(limits), own_name(std::move(own_name)), handler(std::move(handler)), watch(store, CRASH_TABLE, watch_limits)
 {
-	this->watch.on_all = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnRows(rows, true, at); };
+	this->watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnRows(rows, true, at); };
 	this->watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnRows(rows, false, at); };
 }
 
-bool EndRecords::Add(const EndRecord &end)
+bool CrashRecordStore::Add(const CrashRecord &end)
 {
-	if (this->changes.size() >= this->limits.most_waiting) return false;
-	this->cleared.erase(end);
+	if (this->changes.size() >= this->limits.max_pending) return false;
+	this->recently_removed.erase(end);
 	if (!this->listed.contains(end)) this->changes[end] = Change{};
 	return true;
 }
 
-void EndRecords::Remove(const EndRecord &end)
+void CrashRecordStore::Remove(const CrashRecord &end)
 {
 	bool known = this->listed.contains(end) || this->changes.contains(end);
-	if (!known || this->changes.size() >= this->limits.most_waiting) return;
+	if (!known || this->changes.size() >= this->limits.max_pending) return;
 	this->changes[end] = Change{.add = false};
-	if (this->cleared.size() < this->limits.most_cleared) this->cleared[end] = this->ticked_at;
+	if (this->recently_removed.size() < this->limits.max_removed) this->recently_removed[end] = this->last_tick_at;
 }
 
-bool EndRecords::IsWaiting(const EndRecord &end) const
+bool CrashRecordStore::IsWaiting(const CrashRecord &end) const
 {
 	auto found = this->changes.find(end);
 	return found != this->changes.end() && found->second.add;
 }
 
-void EndRecords::Write(const EndRecord &end, Change &change, TimePoint now)
+void CrashRecordStore::Write(const CrashRecord &end, Change &change, TimePoint now)
 {
 	change.number = this->next_number++;
-	change.due = now + this->limits.write_limit;
-	auto done = [this, end, number = change.number](StoreWrite result) { this->OnWritten(end, number, result); };
-	std::string key = EndKey(end);
-	change.call = change.add ? this->store.WriteRow(END_TABLE, key, this->own_name, done) : this->store.RemoveRow(END_TABLE, key, done);
+	change.due = now + this->limits.write_timeout;
+	auto done = [this, end, number = change.number](StoreWriteResult result) { this->OnWritten(end, number, result); };
+	std::string key = CrashKey(end);
+	change.call = change.add ? this->store.WriteRow(CRASH_TABLE, key, this->own_name, done) : this->store.RemoveRow(CRASH_TABLE, key, done);
 }
 
-void EndRecords::OnWritten(const EndRecord &end, uint64_t number, StoreWrite result)
+void CrashRecordStore::OnWritten(const CrashRecord &end, uint64_t number, StoreWriteResult result)
 {
 	auto found = this->changes.find(end);
 	if (found == this->changes.end() || found->second.number != number) return;
-	if (result == StoreWrite::Done) {
+	if (result == StoreWriteResult::Done) {
 		// The table's own news of it may still be on their way.
 		if (found->second.add) this->listed.insert(end);
 		if (!found->second.add) this->listed.erase(end);
@@ -77,54 +78,54 @@
 	}
 	// It may have been done: doing it again changes nothing.
 	found->second.call = 0;
-	found->second.due = this->ticked_at + this->limits.pause;
+	found->second.due = this->last_tick_at + this->limits.pause;
 }
 
-void EndRecords::OnTick(TimePoint now)
+void CrashRecordStore::OnTick(TimePoint now)
 {
-	this->ticked_at = now;
-	std::erase_if(this->cleared, [&](const auto &each) { return now - each.second > this->limits.cleared_kept; });
+	this->last_tick_at = now;
+	std::erase_if(this->recently_removed, [&](const auto &each) { return now - each.second > this->limits.removed_retention; });
 	size_t under_way = 0;
 	for (auto &[end, change] : this->changes) {
 		if (change.call != 0 && now >= change.due) {
 			this->store.Cancel(change.call);
 			change.call = 0;
 		}
-		if (change.call == 0 && now >= change.due && under_way < this->limits.at_once) this->Write(end, change, now);
+		if (change.call == 0 && now >= change.due && under_way < this->limits.max_concurrent_writes) this->Write(end, change, now);
 		if (change.call != 0) under_way++;
 	}
 }
 
-void EndRecords::OnOtherStore()
+void CrashRecordStore::OnStoreRestored()
 {
-	this->forgotten = true;
+	this->verify_snapshot = true;
 	// A write under way may have gone to the former store: its answer says nothing of this one.
 	for (auto &[end, change] : this->changes) {
 		if (change.call == 0) continue;
 		this->store.Cancel(change.call);
 		change.call = 0;
-		change.due = this->ticked_at;
+		change.due = this->last_tick_at;
 	}
 }
 
-void EndRecords::WriteAgain(const std::set<EndRecord> &missing, TimePoint now)
+void CrashRecordStore::RewriteMissing(const std::set<CrashRecord> &missing, TimePoint now)
 {
-	for (const EndRecord &end : missing) {
+	for (const CrashRecord &end : missing) {
 		this->listed.erase(end);
-		bool first = !this->writes_first || this->writes_first(end);
-		if (!this->changes.contains(end)) this->changes[end] = Change{.due = first ? now : now + this->limits.others_after};
+		bool first = !this->rewrites_first || this->rewrites_first(end);
+		if (!this->changes.contains(end)) this->changes[end] = Change{.due = first ? now : now + this->limits.fallback_rewrite_delay};
 	}
 	if (!missing.empty()) Log(LogLevel::Warning, "ends-forgotten", {{"ends", std::to_string(missing.size())}});
 }
 
-void EndRecords::OnRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
+void CrashRecordStore::OnRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
 {
-	std::vector<EndRecord> added;
-	std::vector<EndRecord> removed;
-	std::set<EndRecord> gone;
+	std::vector<CrashRecord> added;
+	std::vector<CrashRecord> removed;
+	std::set<CrashRecord> gone;
 	if (all) gone = this->listed;
 	for (const StoredRow &row : rows) {
-		std::optional<EndRecord> end = ParseEndKey(row.key);
+		std::optional<CrashRecord> end = ParseCrashKey(row.key);
 		if (!end) {
 			Log(LogLevel::Warning, "end-unreadable", {{"key", row.key.substr(0, 64)}});
 			continue;
@@ -137,13 +138,13 @@
 		// Another instance was faster.
 		if (change != this->changes.end() && change->second.add && change->second.call == 0) this->changes.erase(change);
 		// What was taken out since the copy is taken out again.
-		bool was_cleared = all && this->forgotten && this->cleared.contains(*end);
+		bool was_cleared = all && this->verify_snapshot && this->recently_removed.contains(*end);
 		if (was_cleared) this->changes[*end] = Change{.add = false};
 		if (news && !was_cleared) added.push_back(*end);
 	}
-	if (all && this->forgotten) this->WriteAgain(std::exchange(gone, {}), now);
-	if (all) this->forgotten = false;
-	for (const EndRecord &end : gone) {
+	if (all && this->verify_snapshot) this->RewriteMissing(std::exchange(gone, {}), now);
+	if (all) this->verify_snapshot = false;
+	for (const CrashRecord &end : gone) {
 		this->listed.erase(end);
 		if (!this->IsWaiting(end)) removed.push_back(end);
 	}
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -7,61 +7,62 @@
 
 namespace cottonspool {
 
-static constexpr uint32_t MOST_ASKS = 3; ///< Times that a target which breaks the sign of life off is asked for one.
+static constexpr uint32_t MAX_PROBES = 3; ///< Times that a target which breaks the sign of life off is asked for one.
 
-static constexpr size_t MOST_WITHDRAWN = 256; ///< Sends taken back that are remembered: those of two seconds of an instance.
+static constexpr size_t MAX_CANCELLED_SENDS = 256; ///< Sends taken back that are remembered: those of two seconds of an instance.
 
-bool EndWatch::HasWithdrawn(const std::string &life) const
+bool CrashWatch::HasCancelledSend(const std::string &incarnation) const
 {
-	return std::any_of(this->withdrawn.begin(), this->withdrawn.end(), [&](const Withdrawn &each) { return each.life == life; });
+	return std::any_of(this->cancelled_sends.begin(), this->cancelled_sends.end(),
+	                   [&](const CancelledSend &each) { return each.incarnation == incarnation; });
 }
 
-void EndWatch::OnWithdrawn(const std::string &life, BrokenSend send, TimePoint now)
+void CrashWatch::OnSendCancelled(const std::string &incarnation, InterruptedSend send, TimePoint now)
 {
-	this->withdrawn.push_back({life, std::move(send), now});
-	if (this->withdrawn.size() > MOST_WITHDRAWN) this->withdrawn.pop_front();
+	this->cancelled_sends.push_back({incarnation, std::move(send), now});
+	if (this->cancelled_sends.size() > MAX_CANCELLED_SENDS) this->cancelled_sends.pop_front();
 }
 
-void EndWatch::TakeWithdrawn(TargetCheck &check)
+void CrashWatch::AddCancelledSends(CrashCheck &check)
 {
-	for (const Withdrawn &each : this->withdrawn) {
-		if (each.life == check.target.life.Name()) check.sends.push_back(each.send);
+	for (const CancelledSend &each : this->cancelled_sends) {
+		if (each.incarnation == check.target.incarnation.Name()) check.sends.push_back(each.send);
 	}
-	std::erase_if(this->withdrawn, [&](const Withdrawn &each) { return each.life == check.target.life.Name(); });
+	std::erase_if(this->cancelled_sends, [&](const CancelledSend &each) { return each.incarnation == check.target.incarnation.Name(); });
 }
 
-bool EndWatch::OnBroken(const BrokenTarget &target, BrokenSend send, TimePoint now)
+bool CrashWatch::OnSendInterrupted(const ProbedTarget &target, InterruptedSend send, TimePoint now)
 {
-	bool suspect = send.stage != RunStage::RunsWell;
-	if (!suspect && !this->HasWithdrawn(target.life.Name())) return false;
-	auto [found, added] = this->pending.try_emplace(target.life.Name());
-	Pending &check = found->second;
+	bool suspect = send.stage != RunStage::Stable;
+	if (!suspect && !this->HasCancelledSend(target.incarnation.Name())) return false;
+	auto [found, added] = this->pending.try_emplace(target.incarnation.Name());
+	PendingCheck &check = found->second;
 	if (suspect) check.check.sends.push_back(std::move(send));
 	if (!added) return suspect;
 	check.check.target = target;
 	check.begun = now;
-	this->Ask(found->first, check);
+	this->SendProbe(found->first, check);
 	return suspect;
 }
 
-void EndWatch::Ask(const std::string &name, Pending &check)
+void CrashWatch::SendProbe(const std::string &name, PendingCheck &check)
 {
-	check.asks++;
+	check.probes++;
 	check.token = this->next_token++;
-	auto done = [this, name, token = check.token](LifeSign sign) { this->OnSign(name, token, sign); };
-	const BrokenTarget &target = check.check.target;
-	UpstreamCall call = MakeLifeCall(target.address, target.life, target.path, done);
+	auto done = [this, name, token = check.token](ProbeResult sign) { this->OnProbeResult(name, token, sign); };
+	const ProbedTarget &target = check.check.target;
+	UpstreamCall call = MakeProbeCall(target.address, target.incarnation, target.path, done);
 	// This watch has a limit of its own, behind which the target counts as silent, not as refusing.
-	call.connect_limit = 2 * this->limit;
+	call.connect_timeout = 2 * this->limit;
 	check.call = this->upstream.Start(std::move(call));
 }
 
-void EndWatch::OnSign(const std::string &name, uint64_t token, LifeSign sign)
+void CrashWatch::OnProbeResult(const std::string &name, uint64_t token, ProbeResult sign)
 {
 	auto found = this->pending.find(name);
 	if (found == this->pending.end() || found->second.token != token) return;
 	// A process that ends takes connections until its socket is closed, and breaks them: asked again at the next tick, it refuses.
-	if (sign == LifeSign::Broken && found->second.asks < MOST_ASKS) {
+	if (sign == ProbeResult::Broken && found->second.probes < MAX_PROBES) {
 		found->second.call = 0;
 		return;
 	}
@@ -69,35 +70,35 @@
 	this->Conclude(name, MonotonicNow());
 }
 
-void EndWatch::OnOtherLife(const std::string &life, TimePoint now)
+void CrashWatch::OnOtherIncarnation(const std::string &incarnation, TimePoint now)
 {
-	auto found = this->pending.find(life);
+	auto found = this->pending.find(incarnation);
 	if (found == this->pending.end()) return;
 	this->upstream.Cancel(found->second.call);
-	found->second.check.sign = LifeSign::OtherLife;
-	this->Conclude(life, now);
+	found->second.check.sign = ProbeResult::OtherIncarnation;
+	this->Conclude(incarnation, now);
 }
 
-void EndWatch::Conclude(const std::string &name, TimePoint now)
+void CrashWatch::Conclude(const std::string &name, TimePoint now)
 {
 	auto found = this->pending.find(name);
-	TargetCheck check = std::move(found->second.check);
+	CrashCheck check = std::move(found->second.check);
 	check.took = now - found->second.begun;
 	this->pending.erase(found);
-	if (check.HasEnded()) this->TakeWithdrawn(check);
+	if (check.HasCrashed()) this->AddCancelledSends(check);
 	// Where some are known to have begun, those that still waited there have not ended it.
-	auto begun = [](const BrokenSend &send) { return send.stage == RunStage::Begun; };
+	auto begun = [](const InterruptedSend &send) { return send.stage == RunStage::Started; };
 	bool any_begun = std::any_of(check.sends.begin(), check.sends.end(), begun);
-	auto suspect = [&](const BrokenSend &send) { return !any_begun || begun(send); };
+	auto suspect = [&](const InterruptedSend &send) { return !any_begun || begun(send); };
 	auto waited = std::stable_partition(check.sends.begin(), check.sends.end(), suspect);
 	check.cleared.assign(waited, check.sends.end());
 	check.sends.erase(waited, check.sends.end());
 	this->handler(check);
 }
 
-void EndWatch::OnTick(TimePoint now)
+void CrashWatch::OnTick(TimePoint now)
 {
-	std::erase_if(this->withdrawn, [&](const Withdrawn &each) { return now - each.at > this->lately; });
+	std::erase_if(this->cancelled_sends, [&](const CancelledSend &each) { return now - each.at > this->cancelled_window; });
 	std::vector<std::string> late;
 	for (const auto &[name, check] : this->pending) {
 		if (now - check.begun > this->limit) late.push_back(name);
@@ -107,7 +108,7 @@
 		this->Conclude(name, now);
 	}
 	for (auto &[name, check] : this->pending) {
-		if (check.call == 0) this->Ask(name, check);
+		if (check.call == 0) this->SendProbe(name, check);
 	}
 }
 
--- a/src/gateway/feature_switches.h
+++ b/src/gateway/feature_switches.h
@@ -11,16 +11,16 @@
 namespace cottonspool {
 
 /** One mechanism that can be switched. */
-struct RuleSwitch {
+struct FeatureSwitch {
 	const char *name;                     ///< Name on the command line.
 	const char *effect;                   ///< What an instance does once it is switched.
 	void (*apply)(GatewayLimits &limits); ///< Switches it in the limits of an instance.
 };
 
 /** @return All mechanisms that can be switched. */
-std::span<const RuleSwitch> RuleSwitches();
+std::span<const FeatureSwitch> FeatureSwitches();
 
 /** Switch the mechanisms \a names, separated by commas, in \a limits. @return An error that names the first one that there is not. */
-Result<void> SwitchRules(std::string_view names, GatewayLimits &limits);
+Result<void> ApplySwitches(std::string_view names, GatewayLimits &limits);
 
 } // namespace cottonspool
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -14,13 +14,13 @@
 
 namespace cottonspool {
 
-static constexpr Duration SETTINGS_LOOK = std::chrono::seconds(1);                ///< Time between looks at the settings file.
+static constexpr Duration SETTINGS_CHECK_INTERVAL = std::chrono::seconds(1);      ///< Time between looks at the settings file.
 static constexpr Duration NOT_READY_RETRY_AFTER = std::chrono::milliseconds(400); ///< When to come back while no configuration is known.
 static constexpr Duration NO_HOME_RETRY_AFTER = std::chrono::seconds(2); ///< When to come back while the homes of a request have no hall:
                                                                          ///< only another configuration changes that.
 static constexpr Duration STOPPING_RETRY_AFTER =
         std::chrono::milliseconds(50); ///< When to come back, to another instance, while this one stops.
-static constexpr Duration LATEST_WHILE_STOPPING =
+static constexpr Duration MAX_TIMEOUT_WHILE_STOPPING =
         std::chrono::milliseconds(5000);     ///< Time limit above which a new request is not begun while stopping.
 static constexpr size_t ACCOUNT_SERIES = 64; ///< Client accounts with metrics of their own.
 
@@ -48,19 +48,20 @@
     : limits(limits), upstream(loop), metrics(ACCOUNT_SERIES), dispatcher(limits.dispatch, MakeRouter("headroom", 0, limits.router)),
       loop(loop), settings(std::move(given)), settings_path(std::move(settings_path)), store(this->upstream, this->settings.store),
       configuration_watch(this->store, CONFIGURATION_TABLE, limits.watch), target_watch(this->store, TARGET_TABLE, limits.watch),
-      places(this->settings.hall, this->settings.halls), registry(limits.registry), division(this->settings.name),
+      placement(this->settings.hall, this->settings.halls), registry(limits.registry), division(this->settings.name),
       peer_load(this->dispatcher.Targets(), this->pools, std::chrono::seconds(2)),
       hall_load(this->dispatcher.Targets(), this->settings.hall),
-      end_watch(this->upstream, limits.life_check, limits.begun_lately, [this](const TargetCheck &check) { this->OnTargetChecked(check); }),
-      ends(this->store, limits.end_table, limits.end_records, this->settings.name,
-           [this](const std::vector<EndRecord> &added, const std::vector<EndRecord> &removed, TimePoint at) {
-	           this->OnEndRecords(added, removed, at);
-           }),
+      crash_watch(this->upstream, limits.liveness_timeout, limits.crash_suspect_window,
+                  [this](const CrashCheck &check) { this->OnCrashChecked(check); }),
+      crash_records(this->store, limits.crash_table_watch, limits.crash_record_limits, this->settings.name,
+                    [this](const std::vector<CrashRecord> &added, const std::vector<CrashRecord> &removed, TimePoint at) {
+	                    this->OnCrashRecords(added, removed, at);
+                    }),
       peers(loop, this->store, this->peer_load, this->settings.name, this->settings.hall, limits.exchange,
-            [this](const ReportNews &news) { this->OnPeerReport(news); }),
+            [this](const ReportUpdate &news) { this->OnPeerReport(news); }),
       front(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleRequest(exchange); }),
       readiness(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleReady(exchange); }),
-      figures(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleMetrics(exchange); }),
+      metrics_front(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleMetrics(exchange); }),
       random(RandomSeed(this->settings.name)), timer(std::make_unique<Timer>())
 {
 }
@@ -78,7 +79,7 @@
 	if (this->settings.first_port < this->settings.last_port) {
 		bool any = this->settings.first_port == 0;
 		Endpoint metrics_endpoint{this->settings.ip, this->settings.first_port};
-		BOOST_OUTCOME_TRY(metrics_port, this->figures.Listen(metrics_endpoint));
+		BOOST_OUTCOME_TRY(metrics_port, this->metrics_front.Listen(metrics_endpoint));
 		metrics_at = Endpoint{this->settings.ip, metrics_port}.Text();
 		Endpoint peers_endpoint{this->settings.ip, any ? uint16_t{0} : static_cast<uint16_t>(this->settings.first_port + 1)};
 		BOOST_OUTCOME_TRYV(this->peers.Start(peers_endpoint, MonotonicNow()));
@@ -121,9 +122,9 @@
 	this->metrics.Gauge("cottonspool_configuration_version", static_cast<double>(this->routes.Configuration().version));
 	this->metrics.Gauge("cottonspool_store_calls", static_cast<double>(this->configuration_watch.Calls() + this->target_watch.Calls()));
 	this->metrics.Gauge("cottonspool_upstream_connects", static_cast<double>(this->upstream.Counters().connects));
-	this->metrics.Gauge("cottonspool_stray_answers", static_cast<double>(this->upstream.Counters().strays));
+	this->metrics.Gauge("cottonspool_stray_answers", static_cast<double>(this->upstream.Counters().stray_answers));
 	this->metrics.Gauge("cottonspool_quarantined_requests", static_cast<double>(this->quarantined.size()));
-	this->metrics.Gauge("cottonspool_ends_not_written", static_cast<double>(this->ends.Waiting()));
+	this->metrics.Gauge("cottonspool_ends_not_written", static_cast<double>(this->crash_records.Waiting()));
 	this->metrics.Gauge("cottonspool_log_lines_dropped", static_cast<double>(DroppedLogLines()));
 	exchange->Respond(200, {{"Content-Type", "text/plain; version=0.0.4"}}, this->metrics.Render());
 }
@@ -158,7 +159,7 @@
 		return false;
 	}
 	const ClientAccount *account = nullptr;
-	if (this->routes.CheckKey(*route, info.key, &account) == KeyVerdict::Unknown) {
+	if (this->routes.CheckKey(*route, info.key, &account) == KeyCheckResult::Unknown) {
 		this->Reject(exchange, info, 401, "unknown-key", std::nullopt);
 		return false;
 	}
@@ -168,61 +169,61 @@
 	}
 	request->route = *route;
 	request->account = account != nullptr ? account->name : "";
-	request->spec.halls = this->places.HallsFor(*route, account);
+	request->spec.halls = this->placement.HallsFor(*route, account);
 	if (request->spec.halls.empty()) {
 		this->Reject(exchange, info, 503, "no-home", NO_HOME_RETRY_AFTER);
 		return false;
 	}
-	request->rank = account != nullptr && account->rank ? *account->rank : route->rank;
+	request->priority_level = account != nullptr && account->priority_level ? *account->priority_level : route->priority_level;
 	request->pool = RouteTable::ChoosePool(*route, std::uniform_real_distribution<double>(0, 1)(this->random));
 	if (const Pool *pool = this->routes.FindPool(request->pool); pool != nullptr && pool->engine) {
 		request->engines = *pool->engine;
-		request->can_back_up = pool->engine->can_back_up && route->kind == RunKind::Stream;
+		request->can_back_up = pool->engine->can_back_up && route->kind == RouteType::Stream;
 		request->spec.generated = true;
 	} else {
 		request->spec.generated = false;
 	}
-	if (this->stopping && route->timeout > LATEST_WHILE_STOPPING) {
+	if (this->stopping && route->timeout > MAX_TIMEOUT_WHILE_STOPPING) {
 		this->Reject(exchange, info, 503, "stopping", STOPPING_RETRY_AFTER);
 		return false;
 	}
 	return true;
 }
 
-void Gateway::FillSpec(RelayRequest *request, TimePoint now)
+void Gateway::FillCallSpec(RelayRequest *request, TimePoint now)
 {
 	const Route &route = request->route;
 	CallSpec &spec = request->spec;
 	Duration given = std::min(route.timeout, request->info.deadline.value_or(route.timeout));
-	request->ends_at = now + given;
+	request->response_deadline = now + given;
 	spec.id = CallId{this->next_call++};
 	spec.account = this->accounts.Intern(request->account);
 	spec.model = this->pools.Intern(request->pool);
-	spec.service_class = static_cast<ServiceClass>(std::clamp(request->rank, 0, static_cast<int>(SERVICE_CLASS_COUNT) - 1));
-	spec.repeatable = route.kind == RunKind::Repeatable;
+	spec.service_class = static_cast<ServiceClass>(std::clamp(request->priority_level, 0, static_cast<int>(SERVICE_CLASS_COUNT) - 1));
+	spec.repeatable = route.kind == RouteType::Repeatable;
 	spec.max_attempts = route.max_attempts;
-	spec.ends_at = request->ends_at;
+	spec.response_deadline = request->response_deadline;
 	spec.objective = route.objective;
 	spec.other_hall_penalty = this->limits.other_hall_penalty;
 	spec.arrived = now;
-	spec.deadline = std::min(request->ends_at, now + FromSeconds(Seconds(route.objective) * this->limits.wait_part));
-	spec.press_from = now + FromSeconds(Seconds(route.objective) * this->limits.press_part);
+	spec.deadline = std::min(request->response_deadline, now + FromSeconds(Seconds(route.objective) * this->limits.queue_wait_fraction));
+	spec.overcommit_from = now + FromSeconds(Seconds(route.objective) * this->limits.overcommit_fraction);
 	if (spec.generated) {
 		spec.prompt_tokens = std::max<uint32_t>(1, request->info.prompt_tokens);
-		spec.max_tokens = request->info.most_output_tokens;
+		spec.max_tokens = request->info.max_output_tokens;
 	}
 }
 
 void Gateway::HandleRequest(const std::shared_ptr<FrontExchange> &exchange)
 {
-	this->CheckWake(MonotonicNow());
+	this->CheckSuspension(MonotonicNow());
 	RelayRequest request;
 	request.info = ReadRequest(exchange->head);
 	if (!this->Admit(exchange, &request)) return;
-	this->FillSpec(&request, exchange->read_at);
+	this->FillCallSpec(&request, exchange->read_at);
 	std::string_view host = FindHeader(exchange->head.headers, "host");
 	host = host.substr(0, host.find(':'));
-	request.spec.print = PrintRequest({exchange->head.method, host, exchange->head.target, request.account, exchange->body});
+	request.spec.fingerprint = ComputeFingerprint({exchange->head.method, host, exchange->head.target, request.account, exchange->body});
 	this->Begin(exchange, std::move(request));
 }
 
@@ -233,37 +234,37 @@
 	     {"route", request.route.name},
 	     {"pool", request.pool},
 	     {"account", request.account},
-	     {"rank", std::to_string(request.rank)},
+	     {"rank", std::to_string(request.priority_level)},
 	     {"prompt_tokens", std::to_string(request.info.prompt_tokens)},
-	     {"print", PrintText(request.spec.print)},
+	     {"print", FormatFingerprint(request.spec.fingerprint)},
 	     {"body_bytes", std::to_string(exchange->body.size())},
-	     {"limit_ms", FormatMilliseconds(request.ends_at - request.spec.arrived)},
+	     {"limit_ms", FormatMilliseconds(request.response_deadline - request.spec.arrived)},
 	     {"configuration", std::to_string(this->routes.Configuration().version)}});
 	this->call_meter.OnCall(request.pool, request.spec.arrived);
 	CallId id = request.spec.id;
 	std::shared_ptr<RelayCall> call;
-	if (request.route.kind == RunKind::Stream) {
+	if (request.route.kind == RouteType::Stream) {
 		call = std::make_shared<StreamRelay>(*this, exchange, std::move(request));
 	} else {
-		call = std::make_shared<PlainRelay>(*this, exchange, std::move(request));
+		call = std::make_shared<BufferedRelay>(*this, exchange, std::move(request));
 	}
 	this->calls.emplace(id, call);
 	call->Begin(MonotonicNow());
 }
 
-void Gateway::OnCallAt(const RelayRequest &request, TargetNumber target, bool at_once)
+void Gateway::OnCallProgress(const RelayRequest &request, TargetNumber target, bool at_once)
 {
 	if (!request.spec.generated) return;
 	const TargetState &state = this->dispatcher.Targets().Get(target);
 	auto flight = state.in_flight.find(request.spec.id);
 	uint32_t generated = flight == state.in_flight.end() ? 0 : flight->second.generated;
-	this->peers.TellAt(request.spec, request.pool, state.name, generated, at_once);
+	this->peers.PublishCall(request.spec, request.pool, state.name, generated, at_once);
 }
 
 /** Bit that tells the number of a copy of a run from that of the call itself. */
 static constexpr uint64_t COPY_BIT = 1ULL << 61;
 
-void Gateway::OnCopyBegun(const RelayRequest &request, TargetNumber target)
+void Gateway::OnCopyStarted(const RelayRequest &request, TargetNumber target)
 {
 	TargetTable &targets = this->dispatcher.Targets();
 	std::optional<TargetNumber> holder = this->dispatcher.Holder(request.spec.id);
@@ -273,75 +274,75 @@
 	CallSpec copy = request.spec;
 	copy.id = CallId{request.spec.id.value | COPY_BIT};
 	uint32_t generated = std::max<uint32_t>(1, flight->second.generated);
-	targets.OnForeignSent(target, copy, MonotonicNow(), generated);
-	this->peers.TellAt(copy, request.pool, targets.Get(target).name, generated, true);
+	targets.OnPeerCallSent(target, copy, MonotonicNow(), generated);
+	this->peers.PublishCall(copy, request.pool, targets.Get(target).name, generated, true);
 }
 
-void Gateway::OnCopyOver(const RelayRequest &request, TargetNumber target)
+void Gateway::OnCopyFinished(const RelayRequest &request, TargetNumber target)
 {
 	CallId copy{request.spec.id.value | COPY_BIT};
-	this->dispatcher.Targets().OnForeignEnded(target, copy, MonotonicNow());
-	this->peers.TellEnded(copy);
+	this->dispatcher.Targets().OnPeerCallEnded(target, copy, MonotonicNow());
+	this->peers.PublishCallEnded(copy);
 }
 
-void Gateway::Carry(Decisions decisions)
+void Gateway::Execute(Decisions decisions)
 {
-	this->carrier.Carry(std::move(decisions));
+	this->carrier.Execute(std::move(decisions));
 }
 
-void Gateway::OnCallOver(CallId call)
+void Gateway::OnCallFinished(CallId call)
 {
-	this->peers.TellEnded(call);
+	this->peers.PublishCallEnded(call);
 	this->calls.erase(call);
 }
 
-void Gateway::CheckWake(TimePoint now)
+void Gateway::CheckSuspension(TimePoint now)
 {
-	Duration still = now - this->ticked_at;
-	if (this->ticked_at != TimePoint{} && still >= this->limits.wake_after) this->OnTick();
+	Duration still = now - this->last_tick_at;
+	if (this->last_tick_at != TimePoint{} && still >= this->limits.suspend_threshold) this->OnTick();
 }
 
-void Gateway::OnWake(Duration still)
+void Gateway::OnResumed(Duration still)
 {
 	Log(LogLevel::Warning, "woke", {{"still_ms", FormatMilliseconds(still)}, {"in_flight", std::to_string(this->calls.size())}});
 	// What was told meanwhile is not here yet: targets may have left, halls been emptied, configurations followed each other.
 	this->configuration_watch.CatchUp();
 	this->target_watch.CatchUp();
-	this->ends.Watch().CatchUp();
+	this->crash_records.Watch().CatchUp();
 }
 
 void Gateway::OnTick()
 {
 	TimePoint now = MonotonicNow();
-	bool woke = this->ticked_at != TimePoint{} && now - this->ticked_at >= this->limits.wake_after;
-	if (woke) this->OnWake(now - this->ticked_at);
-	this->ticked_at = now;
+	bool woke = this->last_tick_at != TimePoint{} && now - this->last_tick_at >= this->limits.suspend_threshold;
+	if (woke) this->OnResumed(now - this->last_tick_at);
+	this->last_tick_at = now;
 	this->upstream.OnTick(now);
-	this->end_watch.OnTick(now);
-	this->FollowEnds(now);
+	this->crash_watch.OnTick(now);
+	this->ExpireCrashRecords(now);
 	this->front.OnTick(now);
 	this->readiness.OnTick(now);
-	if (now >= this->next_look) {
-		this->next_look = now + this->limits.target_look;
+	if (now >= this->next_target_scan) {
+		this->next_target_scan = now + this->limits.target_scan_interval;
 		this->OnTargetEvents(this->registry.OnTick(now), now);
-		this->RefreshEmptied(now);
+		this->RefreshEvacuated(now);
 		this->RefreshLimits(now);
 		this->PollReports(now);
 	}
-	this->BeginTables(now);
-	this->Carry(this->dispatcher.OnTick(now));
+	this->StartTables(now);
+	this->Execute(this->dispatcher.OnTick(now));
 	std::vector<std::shared_ptr<RelayCall>> all;
 	all.reserve(this->calls.size());
 	for (const auto &[id, call] : this->calls) all.push_back(call);
 	for (const auto &call : all) call->OnTick(now);
 	this->peers.OnTick(now);
 	if (size_t instances = this->peers.Instances(); instances > 0)
-		this->dispatcher.ShareRetries(this->limits.retry_slack, instances, this->settings.name);
-	if (now - this->settings_checked > SETTINGS_LOOK) {
+		this->dispatcher.SetRetryShare(this->limits.retry_slack, instances, this->settings.name);
+	if (now - this->settings_checked > SETTINGS_CHECK_INTERVAL) {
 		this->settings_checked = now;
 		if (ReadFile(this->settings_path) != this->settings_text) this->Reload();
 	}
-	if (this->stopping) this->FinishStopping(now);
+	if (this->stopping) this->AdvanceShutdown(now);
 	FlushLog();
 }
 
@@ -352,15 +353,15 @@
 	this->settings_text = text;
 	if (!read) return Log(LogLevel::Error, "reload-refused", {{"error", FormatError(read.error())}});
 	// Addresses that are listened on stay as they are until the process starts anew.
-	this->settings.bounds = read.value().bounds;
+	this->settings.platform_bounds = read.value().platform_bounds;
 	this->settings.halls = read.value().halls;
-	this->places.SetRegions(this->settings.halls);
+	this->placement.SetRegions(this->settings.halls);
 	this->RefreshHalls(MonotonicNow());
 	this->settings.heartbeat = read.value().heartbeat;
 	if (!(this->settings.store == read.value().store)) {
 		this->settings.store = read.value().store;
 		this->store.SetAddress(this->settings.store);
-		this->upstream.Drop(WireStore::PEER);
+		this->upstream.CloseIdle(WireStore::PEER);
 	}
 	Log(LogLevel::Info, "reloaded", {{"store", this->settings.store.Text()}});
 }
@@ -368,28 +369,28 @@
 void Gateway::Stop()
 {
 	if (this->stopping) {
-		this->stop_begun = TimePoint{};
-		return this->FinishStopping(MonotonicNow());
+		this->stop_started = TimePoint{};
+		return this->AdvanceShutdown(MonotonicNow());
 	}
 	this->stopping = true;
-	this->stop_begun = MonotonicNow();
+	this->stop_started = MonotonicNow();
 	this->front.BeginClosing();
-	this->peers.Leave();
+	this->peers.Deregister();
 	Log(LogLevel::Info, "stopping", {{"in_flight", std::to_string(this->calls.size())}});
 }
 
-void Gateway::FinishStopping(TimePoint now)
+void Gateway::AdvanceShutdown(TimePoint now)
 {
-	Duration since = now - this->stop_begun;
-	bool at_once = since >= this->settings.bounds.stop_grace - this->limits.stop_margin;
-	bool done = this->calls.empty() && since >= this->limits.stop_notice;
+	Duration since = now - this->stop_started;
+	bool at_once = since >= this->settings.platform_bounds.stop_grace - this->limits.kill_margin;
+	bool done = this->calls.empty() && since >= this->limits.drain_delay;
 	if (!at_once && !done) return;
 	std::vector<std::shared_ptr<RelayCall>> all;
 	for (const auto &[id, call] : this->calls) all.push_back(call);
-	this->cut_calls += all.size();
-	for (const auto &call : all) call->Cut();
+	this->aborted_calls += all.size();
+	for (const auto &call : all) call->AbortOnStop();
 	this->front.StopListening();
-	Log(LogLevel::Info, "stopped", {{"cut", std::to_string(this->cut_calls)}});
+	Log(LogLevel::Info, "stopped", {{"cut", std::to_string(this->aborted_calls)}});
 	FlushLog();
 	uv_stop(this->loop);
 }
--- a/src/gateway/gateway_crashes.cpp
+++ b/src/gateway/gateway_crashes.cpp
@@ -7,104 +7,106 @@
 
 namespace cottonspool {
 
-static constexpr Duration ENDS_LOOK = std::chrono::seconds(1); ///< Time between looks for ends that are no longer held against anybody.
+static constexpr Duration CRASH_EXPIRY_INTERVAL =
+        std::chrono::seconds(1); ///< Time between looks for ends that are no longer held against anybody.
 
-void Gateway::OnSendBroken(const RelayRequest &request, TargetNumber number, RunStage stage, TimePoint now)
+void Gateway::OnSendInterrupted(const RelayRequest &request, TargetNumber number, RunStage stage, TimePoint now)
 {
 	const TargetRecord &record = this->records[number.value];
 	const Pool *pool = this->routes.FindPool(record.pool);
-	BrokenTarget target{record.life, record.address, REPORT_PATH};
+	ProbedTarget target{record.incarnation, record.address, REPORT_PATH};
 	if (!record.engine && pool != nullptr) target.path = pool->health_path;
 	// Until the target has answered it counts as ended: a second send of this very request is decided before that.
-	bool suspect = this->end_watch.OnBroken(target, {request.spec.print, request.info.attempt, stage}, now);
-	bool added = suspect && this->dispatcher.Suspicions().Add({request.spec.print, record.life.Name()}, now);
-	if (added) this->OnSuspicionChanged(now);
+	bool suspect = this->crash_watch.OnSendInterrupted(target, {request.spec.fingerprint, request.info.attempt, stage}, now);
+	bool added = suspect && this->dispatcher.QuarantineState().Add({request.spec.fingerprint, record.incarnation.Name()}, now);
+	if (added) this->OnQuarantineChanged(now);
 }
 
-void Gateway::OnSendWithdrawn(const RelayRequest &request, TargetNumber number, RunStage stage, TimePoint now)
+void Gateway::OnSendCancelled(const RelayRequest &request, TargetNumber number, RunStage stage, TimePoint now)
 {
-	if (stage == RunStage::RunsWell) return;
-	this->end_watch.OnWithdrawn(this->records[number.value].life.Name(), {request.spec.print, request.info.attempt, stage}, now);
+	if (stage == RunStage::Stable) return;
+	this->crash_watch.OnSendCancelled(this->records[number.value].incarnation.Name(),
+	                                  {request.spec.fingerprint, request.info.attempt, stage}, now);
 }
 
-void Gateway::OnTargetChecked(const TargetCheck &check)
+void Gateway::OnCrashChecked(const CrashCheck &check)
 {
 	TimePoint now = MonotonicNow();
-	for (const BrokenSend &send : check.sends) {
-		EndRecord end{send.print, check.target.life.Name()};
-		bool held = check.HasEnded() && this->ends.Add(end);
-		if (held) this->dispatcher.Suspicions().Add(end, now);
-		if (!held && !this->ends.Holds(end)) this->dispatcher.Suspicions().Remove(end);
+	for (const InterruptedSend &send : check.sends) {
+		CrashRecord end{send.fingerprint, check.target.incarnation.Name()};
+		bool held = check.HasCrashed() && this->crash_records.Add(end);
+		if (held) this->dispatcher.QuarantineState().Add(end, now);
+		if (!held && !this->crash_records.Holds(end)) this->dispatcher.QuarantineState().Remove(end);
 		Log(LogLevel::Info, "target-check",
 		    {{"request", send.request},
-		     {"print", PrintText(send.print)},
-		     {"target", check.target.life.Name()},
-		     {"sign", check.sign ? LifeSignName(*check.sign) : "none"},
-		     {"ended", check.HasEnded() ? "yes" : "no"},
-		     {"begun", send.stage == RunStage::Begun ? "yes" : "no"},
+		     {"print", FormatFingerprint(send.fingerprint)},
+		     {"target", check.target.incarnation.Name()},
+		     {"sign", check.sign ? ProbeResultName(*check.sign) : "none"},
+		     {"ended", check.HasCrashed() ? "yes" : "no"},
+		     {"begun", send.stage == RunStage::Started ? "yes" : "no"},
 		     {"suspects", std::to_string(check.sends.size())},
 		     {"held", held ? "yes" : "no"},
 		     {"ms", FormatMilliseconds(check.took)}});
 	}
-	for (const BrokenSend &send : check.cleared) {
-		EndRecord end{send.print, check.target.life.Name()};
-		if (!this->ends.Holds(end)) this->dispatcher.Suspicions().Remove(end);
+	for (const InterruptedSend &send : check.cleared) {
+		CrashRecord end{send.fingerprint, check.target.incarnation.Name()};
+		if (!this->crash_records.Holds(end)) this->dispatcher.QuarantineState().Remove(end);
 	}
-	this->OnSuspicionChanged(now);
+	this->OnQuarantineChanged(now);
 }
 
-void Gateway::OnEndRecords(const std::vector<EndRecord> &added, const std::vector<EndRecord> &removed, TimePoint now)
+void Gateway::OnCrashRecords(const std::vector<CrashRecord> &added, const std::vector<CrashRecord> &removed, TimePoint now)
 {
-	for (const EndRecord &end : removed) this->dispatcher.Suspicions().Remove(end);
-	for (const EndRecord &end : added) this->dispatcher.Suspicions().Add(end, now);
-	this->OnSuspicionChanged(now);
+	for (const CrashRecord &end : removed) this->dispatcher.QuarantineState().Remove(end);
+	for (const CrashRecord &end : added) this->dispatcher.QuarantineState().Add(end, now);
+	this->OnQuarantineChanged(now);
 }
 
-void Gateway::OnSuspicionChanged(TimePoint now)
+void Gateway::OnQuarantineChanged(TimePoint now)
 {
-	const Quarantine &suspicions = this->dispatcher.Suspicions();
-	std::set<RequestPrint> before = std::move(this->quarantined);
-	std::vector<RequestPrint> after = suspicions.Quarantined(now);
+	const Quarantine &suspicions = this->dispatcher.QuarantineState();
+	std::set<RequestFingerprint> before = std::move(this->quarantined);
+	std::vector<RequestFingerprint> after = suspicions.Quarantined(now);
 	this->quarantined = {after.begin(), after.end()};
-	for (RequestPrint print : after) {
-		if (before.erase(print) > 0) continue;
+	for (RequestFingerprint fingerprint : after) {
+		if (before.erase(fingerprint) > 0) continue;
 		Log(LogLevel::Warning, "quarantined",
-		    {{"print", PrintText(print)},
-		     {"ends", std::to_string(suspicions.EndsOf(print).size())},
-		     {"left_ms", FormatMilliseconds(suspicions.Left(print, now))}});
+		    {{"print", FormatFingerprint(fingerprint)},
+		     {"ends", std::to_string(suspicions.CrashesOf(fingerprint).size())},
+		     {"left_ms", FormatMilliseconds(suspicions.RemainingTime(fingerprint, now))}});
 		std::vector<std::shared_ptr<RelayCall>> same;
 		for (const auto &[id, call] : this->calls) {
-			if (call->Spec().print == print) same.push_back(call);
+			if (call->Spec().fingerprint == fingerprint) same.push_back(call);
 		}
 		for (const auto &call : same) call->OnQuarantined();
 	}
-	for (RequestPrint print : before) Log(LogLevel::Info, "quarantine-ended", {{"print", PrintText(print)}});
-	this->Carry(this->dispatcher.OnSuspicionChanged(now));
+	for (RequestFingerprint fingerprint : before) Log(LogLevel::Info, "quarantine-ended", {{"print", FormatFingerprint(fingerprint)}});
+	this->Execute(this->dispatcher.OnQuarantineChanged(now));
 }
 
-void Gateway::OnAnsweredWell(const RelayRequest &request)
+void Gateway::OnAnsweredSuccessfully(const RelayRequest &request)
 {
-	std::vector<EndRecord> own = this->dispatcher.Suspicions().ClearedByAnswer(request.spec.print);
+	std::vector<CrashRecord> own = this->dispatcher.QuarantineState().ClearedBySuccess(request.spec.fingerprint);
 	if (own.empty()) return;
-	for (const EndRecord &end : own) {
-		this->dispatcher.Suspicions().Remove(end);
-		this->ends.Remove(end);
+	for (const CrashRecord &end : own) {
+		this->dispatcher.QuarantineState().Remove(end);
+		this->crash_records.Remove(end);
 	}
 	Log(LogLevel::Info, "suspicion-cleared",
-	    {{"request", request.info.attempt}, {"print", PrintText(request.spec.print)}, {"ends", std::to_string(own.size())}});
-	this->OnSuspicionChanged(MonotonicNow());
+	    {{"request", request.info.attempt}, {"print", FormatFingerprint(request.spec.fingerprint)}, {"ends", std::to_string(own.size())}});
+	this->OnQuarantineChanged(MonotonicNow());
 }
 
-void Gateway::FollowEnds(TimePoint now)
+void Gateway::ExpireCrashRecords(TimePoint now)
 {
-	this->ends.OnTick(now);
-	if (now - this->ends_looked < ENDS_LOOK || this->dispatcher.Suspicions().IsEmpty()) return;
-	this->ends_looked = now;
-	for (const EndRecord &end : this->dispatcher.Suspicions().Expired(now)) {
-		this->dispatcher.Suspicions().Remove(end);
-		if (this->peers.ReadsReportsOf(EndKey(end))) this->ends.Remove(end);
+	this->crash_records.OnTick(now);
+	if (now - this->crash_records_checked_at < CRASH_EXPIRY_INTERVAL || this->dispatcher.QuarantineState().IsEmpty()) return;
+	this->crash_records_checked_at = now;
+	for (const CrashRecord &end : this->dispatcher.QuarantineState().Expired(now)) {
+		this->dispatcher.QuarantineState().Remove(end);
+		if (this->peers.ReadsReportsOf(CrashKey(end))) this->crash_records.Remove(end);
 	}
-	this->OnSuspicionChanged(now);
+	this->OnQuarantineChanged(now);
 }
 
 } // namespace cottonspool
--- a/src/gateway/gateway_leases.cpp
+++ b/src/gateway/gateway_leases.cpp
@@ -19,63 +19,64 @@
 
 bool Gateway::HasJustStarted(Duration window, TimePoint now) const
 {
-	return !this->settings.first_start && now - this->started_at < LEASE_TERM + window;
+	return !this->settings.bootstrap && now - this->started_at < LEASE_TERM + window;
 }
 
-RateBound Gateway::CellBound(TargetNumber number, RateBound bound) const
+RateLimit Gateway::CellRateLimit(TargetNumber number, RateLimit bound) const
 {
 	const std::string &hall = this->dispatcher.Targets().Get(number).hall;
 	bound.per_second *= this->division.ShareOf(this->records[number.value].pool, hall, this->peers.Cells());
 	return bound;
 }
 
-void Gateway::ShareLimit(TargetNumber number, TimePoint now)
+void Gateway::UpdateLimitShare(TargetNumber number, TimePoint now)
 {
 	// What each instance knows of a limit bounds the sum only if each keeps to a part of it.
 	const TargetState &target = this->dispatcher.Targets().Get(number);
-	const TargetLimit &limit = target.bounds.limit;
-	if (!limit.IsNamed()) return;
-	RateShare share = ShareRate(target.name, this->CellBound(number, limit.Bound()), this->SharersOf(target.hall), this->settings.name);
-	if (this->HasJustStarted(share.window, now)) share.most = 0;
+	const TargetRateLimit &limit = target.restrictions.limit;
+	if (!limit.IsActive()) return;
+	RateShare share = ShareRate(target.name, this->CellRateLimit(number, limit.Bound()), this->SharersOf(target.hall), this->settings.name);
+	if (this->HasJustStarted(share.window, now)) share.max_requests = 0;
 	this->dispatcher.Targets().SetLimitShare(number, share);
 }
 
 void Gateway::RefreshLimits(TimePoint now)
 {
-	if (this->limited.empty() && this->left_by_word.empty()) return;
-	if (now - this->limits_refreshed >= LIMITS_REFRESH) {
-		this->limits_refreshed = now;
+	if (this->limited.empty() && this->drain_notices.empty()) return;
+	if (now - this->limits_refreshed_at >= LIMITS_REFRESH) {
+		this->limits_refreshed_at = now;
 		this->sharers.clear();
-		std::erase_if(this->limited, [this](TargetNumber number) { return !this->dispatcher.Targets().Get(number).bounds.known; });
-		for (TargetNumber number : this->limited) this->ShareLimit(number, now);
-		std::erase_if(this->left_by_word, [&](const auto &entry) { return now - entry.second > this->limits.registry.remembered; });
+		std::erase_if(this->limited, [this](TargetNumber number) { return !this->dispatcher.Targets().Get(number).restrictions.known; });
+		for (TargetNumber number : this->limited) this->UpdateLimitShare(number, now);
+		std::erase_if(this->drain_notices,
+		              [&](const auto &entry) { return now - entry.second > this->limits.registry.departed_retention; });
 	}
-	for (TargetNumber number : this->limited) this->AskLeases(number, now);
+	for (TargetNumber number : this->limited) this->RequestLeases(number, now);
 }
 
-void Gateway::AskLeases(TargetNumber number, TimePoint now)
+void Gateway::RequestLeases(TargetNumber number, TimePoint now)
 {
 	const TargetState &target = this->dispatcher.Targets().Get(number);
-	uint32_t demand = this->call_meter.Lately(this->records[number.value].pool, now);
-	if (!target.bounds.limit.WantsLeases(demand, now)) return;
-	if (this->HasJustStarted(target.bounds.limit.Share().window, now)) return;
+	uint32_t demand = this->call_meter.Recent(this->records[number.value].pool, now);
+	if (!target.restrictions.limit.WantsLeases(demand, now)) return;
+	if (this->HasJustStarted(target.restrictions.limit.Share().window, now)) return;
 	const std::vector<std::string> &all = this->SharersOf(target.hall);
 	if (std::find(all.begin(), all.end(), this->settings.name) == all.end()) return;
-	RateBound bound = this->CellBound(number, target.bounds.limit.Bound());
+	RateLimit bound = this->CellRateLimit(number, target.restrictions.limit.Bound());
 	auto in_span = static_cast<size_t>(std::max(1.0, bound.per_second * Seconds(bound.span)));
 	// Where there are more sharers than requests in a span, only some hold a share.
 	std::vector<std::string> owners = RendezvousChoice(target.name, all, in_span);
 	std::erase(owners, this->settings.name);
-	for (const LeaseAsk &ask : this->dispatcher.Targets().AskLeases(number, owners, demand, now))
-		this->peers.AskLease(ask.owner, {this->settings.name, target.name, ask.number, ask.wanted});
+	for (const LeaseRequest &ask : this->dispatcher.Targets().RequestLeases(number, owners, demand, now))
+		this->peers.RequestLease(ask.owner, {this->settings.name, target.name, ask.number, ask.wanted});
 }
 
-uint32_t Gateway::OnLeaseAsk(const LeaseAskMessage &ask)
+uint32_t Gateway::OnLeaseRequest(const LeaseRequestMessage &ask)
 {
 	TimePoint now = MonotonicNow();
 	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(ask.target);
 	if (!number || number->value >= this->records.size()) return 0;
-	uint32_t own = this->call_meter.Lately(this->records[number->value].pool, now);
+	uint32_t own = this->call_meter.Recent(this->records[number->value].pool, now);
 	uint32_t granted = this->dispatcher.Targets().Lend(*number, ask.instance, ask.wanted, own, now);
 	this->metrics.Count("cottonspool_lease_asks_total");
 	return granted;
@@ -89,7 +90,7 @@
 	if (grant.granted == 0) return;
 	this->metrics.Count("cottonspool_lease_grants_total");
 	// Calls that wait may go now.
-	this->Carry(this->dispatcher.OnTick(MonotonicNow()));
+	this->Execute(this->dispatcher.OnTick(MonotonicNow()));
 }
 
 } // namespace cottonspool
--- a/src/gateway/gateway_placement.cpp
+++ b/src/gateway/gateway_placement.cpp
@@ -9,58 +9,58 @@
 
 namespace cottonspool {
 
-void Gateway::OnEmptiedRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
+void Gateway::OnEvacuationRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
 {
 	std::set<std::string> listed;
 	for (const StoredRow &row : rows) {
-		std::optional<std::string> hall = EmptiedHallOf(row.key);
+		std::optional<std::string> hall = EvacuatedHallOf(row.key);
 		if (!hall) continue;
 		if (all) listed.insert(*hall);
-		if (!all) this->places.SetListed(*hall, !row.deleted);
+		if (!all) this->placement.SetEvacuated(*hall, !row.deleted);
 	}
-	if (all) this->places.SetAllListed(listed);
-	this->RefreshEmptied(now);
+	if (all) this->placement.SetAllEvacuated(listed);
+	this->RefreshEvacuated(now);
 }
 
-void Gateway::RefreshEmptied(TimePoint now)
+void Gateway::RefreshEvacuated(TimePoint now)
 {
-	std::set<std::string> before = std::move(this->emptied);
-	this->emptied = this->places.Emptied(now);
-	if (this->emptied == before) return;
+	std::set<std::string> before = std::move(this->evacuated);
+	this->evacuated = this->placement.Evacuated(now);
+	if (this->evacuated == before) return;
 	for (const std::string &hall : before) {
-		if (!this->emptied.contains(hall)) this->OnHallTakenBack(hall, now);
+		if (!this->evacuated.contains(hall)) this->OnHallReinstated(hall, now);
 	}
-	for (const std::string &hall : this->emptied) {
+	for (const std::string &hall : this->evacuated) {
 		if (!before.contains(hall)) Log(LogLevel::Info, "hall-emptied", {{"hall", hall}});
 	}
-	this->dispatcher.Targets().SetEmptiedHalls(this->emptied);
-	this->Carry(this->dispatcher.OnPlacesChanged(now));
+	this->dispatcher.Targets().SetEvacuatedHalls(this->evacuated);
+	this->Execute(this->dispatcher.OnPlacementChanged(now));
 }
 
-void Gateway::OnHallTakenBack(const std::string &hall, TimePoint now)
+void Gateway::OnHallReinstated(const std::string &hall, TimePoint now)
 {
 	Log(LogLevel::Info, "hall-taken-back", {{"hall", hall}});
 	// Its targets may have turned cold just before, and their rows say so only with their next heartbeat.
 	for (const auto &[id, listed] : this->usable) {
 		const Pool *pool = this->routes.FindPool(listed.pool);
 		std::optional<TargetNumber> number = this->dispatcher.Targets().Find(id);
-		if (listed.hall == hall && pool != nullptr && number) this->NoteCold(*number, listed, pool->cold_start, now);
+		if (listed.hall == hall && pool != nullptr && number) this->MarkCold(*number, listed, pool->cold_start, now);
 	}
 }
 
-void Gateway::NoteCold(TargetNumber number, const ListedTarget &listed, Duration cold_left, TimePoint now)
+void Gateway::MarkCold(TargetNumber number, const ListedTarget &listed, Duration cold_remaining, TimePoint now)
 {
 	const Pool *pool = this->routes.FindPool(listed.pool);
-	if (pool == nullptr || pool->cold_per_s <= 0 || cold_left <= Duration(0)) return;
-	RateBound bound = this->CellBound(number, {pool->cold_per_s, std::chrono::seconds(1)});
-	RateShare share = ShareRate(listed.life.Name(), bound, this->peers.KnownInstances(), this->settings.name);
-	this->dispatcher.Targets().SetCold(number, now + cold_left, share);
+	if (pool == nullptr || pool->cold_rate <= 0 || cold_remaining <= Duration(0)) return;
+	RateLimit bound = this->CellRateLimit(number, {pool->cold_rate, std::chrono::seconds(1)});
+	RateShare share = ShareRate(listed.incarnation.Name(), bound, this->peers.KnownInstances(), this->settings.name);
+	this->dispatcher.Targets().SetCold(number, now + cold_remaining, share);
 	Log(LogLevel::Info, "target-cold",
-	    {{"target", listed.life.Name()},
+	    {{"target", listed.incarnation.Name()},
 	     {"hall", listed.hall},
-	     {"left_ms", FormatMilliseconds(cold_left)},
-	     {"bears_per_s", FormatNumber(pool->cold_per_s)},
-	     {"share", std::to_string(share.most)},
+	     {"left_ms", FormatMilliseconds(cold_remaining)},
+	     {"bears_per_s", FormatNumber(pool->cold_rate)},
+	     {"share", std::to_string(share.max_requests)},
 	     {"window_ms", FormatMilliseconds(share.window)}});
 }
 
@@ -71,8 +71,8 @@
 	                          [&](const Route &each) { return each.name == request.route.name; });
 	auto account = std::find_if(configuration.accounts.begin(), configuration.accounts.end(),
 	                            [&](const ClientAccount &each) { return each.name == request.account; });
-	return this->places.HallsFor(route == configuration.routes.end() ? request.route : *route,
-	                             account == configuration.accounts.end() ? nullptr : &*account);
+	return this->placement.HallsFor(route == configuration.routes.end() ? request.route : *route,
+	                                account == configuration.accounts.end() ? nullptr : &*account);
 }
 
 void Gateway::RefreshHalls(TimePoint now)
@@ -83,7 +83,7 @@
 		if (halls.empty()) halls.push_back({std::string(), 0});
 		this->dispatcher.SetHalls(id, std::move(halls));
 	}
-	this->Carry(this->dispatcher.OnPlacesChanged(now));
+	this->Execute(this->dispatcher.OnPlacementChanged(now));
 }
 
 } // namespace cottonspool
--- a/src/gateway/gateway_signals.cpp
+++ b/src/gateway/gateway_signals.cpp
@@ -7,101 +7,101 @@
 
 namespace cottonspool {
 
-static constexpr Duration SIGNS_LOG_PAUSE = std::chrono::seconds(1); ///< Least time between lines about one target.
+static constexpr Duration SIGNALS_LOG_INTERVAL = std::chrono::seconds(1); ///< Least time between lines about one target.
 
-void Gateway::OnAnswerBegun(const RelayRequest &request, TargetNumber number, const AnswerInfo &answer, TimePoint asked)
+void Gateway::OnAnswerHead(const RelayRequest &request, TargetNumber number, const AnswerInfo &answer, TimePoint asked)
 {
-	if (answer.load) this->OnLoadTold(number, *answer.load);
+	if (answer.load) this->OnLoadHeader(number, *answer.load);
 	TimePoint now = MonotonicNow();
-	this->LogSigns(request, number, answer.signs, now);
-	if (answer.signs.leaving) this->OnOwnWord(this->records[number.value].life.Name(), "answer", now);
-	bool limit_changed = this->dispatcher.Targets().OnSigns(number, answer.signs, asked, now);
+	this->LogSignals(request, number, answer.signals, now);
+	if (answer.signals.draining) this->OnTargetDrainNotice(this->records[number.value].incarnation.Name(), "answer", now);
+	bool limit_changed = this->dispatcher.Targets().OnSignals(number, answer.signals, asked, now);
 	if (limit_changed) this->OnLimitChanged(number, "answer", asked, now);
-	if (limit_changed) this->peers.TellSigns(this->NewsOf(number, now), asked);
-	if (limit_changed || answer.signs.pause > Duration(0)) this->Carry(this->dispatcher.OnPlacesChanged(now));
+	if (limit_changed) this->peers.PublishSignals(this->LimitUpdateOf(number, now), asked);
+	if (limit_changed || answer.signals.pause > Duration(0)) this->Execute(this->dispatcher.OnPlacementChanged(now));
 }
 
-void Gateway::OnOwnWord(const std::string &target, const char *source, TimePoint now)
+void Gateway::OnTargetDrainNotice(const std::string &target, const char *source, TimePoint now)
 {
 	// Its own word is final also while the list is silent: the store may be away, and a plain service tells it nowhere else.
-	std::vector<TargetEvent> events = this->registry.OnOwnNotice(target, source, now);
+	std::vector<TargetEvent> events = this->registry.OnDrainNotice(target, source, now);
 	if (events.empty()) return;
-	this->left_by_word[target] = now;
-	this->peers.TellSigns({.target = target, .leaving = true}, now);
+	this->drain_notices[target] = now;
+	this->peers.PublishSignals({.target = target, .draining = true}, now);
 	this->OnTargetEvents(events, now);
 }
 
-SignNews Gateway::NewsOf(TargetNumber number, TimePoint now) const
+TargetSignalUpdate Gateway::LimitUpdateOf(TargetNumber number, TimePoint now) const
 {
 	const TargetState &target = this->dispatcher.Targets().Get(number);
-	SignNews news{.target = target.name};
-	news.limit = target.bounds.limit.IsNamed() ? SignState::Said : SignState::Absent;
-	news.limit_per_s = target.bounds.limit.IsNamed() ? target.bounds.limit.Bound().per_second : 0;
+	TargetSignalUpdate news{.target = target.name};
+	news.limit = target.restrictions.limit.IsActive() ? SignalState::Present : SignalState::Absent;
+	news.limit_per_s = target.restrictions.limit.IsActive() ? target.restrictions.limit.Bound().per_second : 0;
 	static constexpr Duration OLDEST = std::chrono::minutes(10); ///< What is older says no more than this.
-	news.asked_ago = std::min(OLDEST, now - target.bounds.limit.HeardAt());
+	news.request_age = std::min(OLDEST, now - target.restrictions.limit.LastReportedAt());
 	return news;
 }
 
-std::vector<SignNews> Gateway::KnownSigns(TimePoint now) const
+std::vector<TargetSignalUpdate> Gateway::KnownSignals(TimePoint now) const
 {
-	std::vector<SignNews> all;
-	for (TargetNumber number : this->limited) all.push_back(this->NewsOf(number, now));
-	for (const auto &[target, at] : this->left_by_word) all.push_back({.target = target, .leaving = true, .asked_ago = now - at});
+	std::vector<TargetSignalUpdate> all;
+	for (TargetNumber number : this->limited) all.push_back(this->LimitUpdateOf(number, now));
+	for (const auto &[target, at] : this->drain_notices) all.push_back({.target = target, .draining = true, .request_age = now - at});
 	return all;
 }
 
-void Gateway::OnPeerSigns(const SignNews &news)
+void Gateway::OnPeerSignals(const TargetSignalUpdate &news)
 {
 	TimePoint now = MonotonicNow();
 	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
-	if (news.leaving) this->OnOwnWord(news.target, "peer", now);
-	if (!number || news.limit == SignState::Unreadable) return;
-	TargetSigns signs;
-	signs.limit = news.limit;
-	signs.limit_per_s = news.limit_per_s;
-	TimePoint asked = now - news.asked_ago;
-	if (!this->dispatcher.Targets().OnSigns(*number, signs, asked, now)) return;
+	if (news.draining) this->OnTargetDrainNotice(news.target, "peer", now);
+	if (!number || news.limit == SignalState::Unreadable) return;
+	TargetSignals signals;
+	signals.limit = news.limit;
+	signals.limit_per_s = news.limit_per_s;
+	TimePoint asked = now - news.request_age;
+	if (!this->dispatcher.Targets().OnSignals(*number, signals, asked, now)) return;
 	this->OnLimitChanged(*number, "peer", asked, now);
-	this->Carry(this->dispatcher.OnPlacesChanged(now));
+	this->Execute(this->dispatcher.OnPlacementChanged(now));
 }
 
 void Gateway::OnLimitChanged(TargetNumber number, const char *source, TimePoint asked, TimePoint now)
 {
-	const TargetLimit &limit = this->dispatcher.Targets().Get(number).bounds.limit;
-	if (limit.IsNamed()) this->limited.insert(number);
-	if (!limit.IsNamed()) this->limited.erase(number);
-	this->ShareLimit(number, now);
+	const TargetRateLimit &limit = this->dispatcher.Targets().Get(number).restrictions.limit;
+	if (limit.IsActive()) this->limited.insert(number);
+	if (!limit.IsActive()) this->limited.erase(number);
+	this->UpdateLimitShare(number, now);
 	TargetRecord &record = this->records[number.value];
-	bool was_named = record.limit_logged;
-	if (was_named == limit.IsNamed() && now - record.limit_logged_at < SIGNS_LOG_PAUSE) return;
-	record.limit_logged = limit.IsNamed();
+	bool was_named = record.limited_as_logged;
+	if (was_named == limit.IsActive() && now - record.limit_logged_at < SIGNALS_LOG_INTERVAL) return;
+	record.limited_as_logged = limit.IsActive();
 	record.limit_logged_at = now;
 	const RateShare &share = limit.Share();
 	Log(LogLevel::Info, "target-limit",
-	    {{"target", record.life.Name()},
+	    {{"target", record.incarnation.Name()},
 	     {"source", source},
-	     {"per_s", limit.IsNamed() ? FormatNumber(limit.Bound().per_second) : ""},
+	     {"per_s", limit.IsActive() ? FormatNumber(limit.Bound().per_second) : ""},
 	     {"asked_ms_ago", FormatMilliseconds(now - asked)},
-	     {"share", std::to_string(share.most)},
+	     {"share", std::to_string(share.max_requests)},
 	     {"window_ms", FormatMilliseconds(share.window)}});
 }
 
-void Gateway::LogSigns(const RelayRequest &request, TargetNumber number, const TargetSigns &signs, TimePoint now)
+void Gateway::LogSignals(const RelayRequest &request, TargetNumber number, const TargetSignals &signals, TimePoint now)
 {
 	TargetRecord &record = this->records[number.value];
-	if (signs == record.signs || now - record.signs_logged < SIGNS_LOG_PAUSE) return;
-	record.signs = signs;
-	record.signs_logged = now;
+	if (signals == record.signals || now - record.signals_logged_at < SIGNALS_LOG_INTERVAL) return;
+	record.signals = signals;
+	record.signals_logged_at = now;
 	Log(LogLevel::Info, "target-said",
-	    {{"target", record.life.Name()},
+	    {{"target", record.incarnation.Name()},
 	     {"request", request.info.attempt},
-	     {"limit_per_s", signs.limit == SignState::Said ? FormatNumber(signs.limit_per_s) : ""},
-	     {"leaving", signs.leaving ? "yes" : "no"},
-	     {"pause_ms", FormatMilliseconds(signs.pause)},
-	     {"unreadable", signs.unreadable ? "yes" : "no"}});
+	     {"limit_per_s", signals.limit == SignalState::Present ? FormatNumber(signals.limit_per_s) : ""},
+	     {"leaving", signals.draining ? "yes" : "no"},
+	     {"pause_ms", FormatMilliseconds(signals.pause)},
+	     {"unreadable", signals.unreadable ? "yes" : "no"}});
 }
 
-void Gateway::OnLoadTold(TargetNumber number, const TargetLoad &load)
+void Gateway::OnLoadHeader(TargetNumber number, const TargetLoad &load)
 {
 	TargetRecord &record = this->records[number.value];
 	if (record.engine || load.slots == 0) return;
@@ -111,7 +111,7 @@
 	report.used_tokens = load.running;
 	report.running = load.running;
 	report.waiting = load.waiting;
-	this->Carry(this->dispatcher.OnReport(number, report, MonotonicNow()));
+	this->Execute(this->dispatcher.OnReport(number, report, MonotonicNow()));
 }
 
 } // namespace cottonspool
--- a/src/gateway/gateway_store.cpp
+++ b/src/gateway/gateway_store.cpp
@@ -10,55 +10,55 @@
 
 void Gateway::WatchStore()
 {
-	this->FollowOperators();
+	this->FollowConfiguration();
 	this->FollowTargets();
 	this->FollowInstances();
-	TableWatch &end_watch = this->ends.Watch();
-	this->LogStoreState(end_watch, "ends", [this](TimePoint) { this->ends.OnOtherStore(); });
-	this->ends.writes_first = [this](const EndRecord &end) { return this->peers.ReadsReportsOf(EndKey(end)); };
+	TableWatch &crash_watch = this->crash_records.Watch();
+	this->LogStoreState(crash_watch, "ends", [this](TimePoint) { this->crash_records.OnStoreRestored(); });
+	this->crash_records.rewrites_first = [this](const CrashRecord &end) { return this->peers.ReadsReportsOf(CrashKey(end)); };
 	this->peers.Share(this->configuration_watch);
 	this->peers.Share(this->target_watch);
-	this->peers.ShareWith(end_watch, this->target_watch);
-	this->configuration_watch.WaitForReturnAt(this->target_watch);
-	this->peers.WaitForReturnAt(this->target_watch);
+	this->peers.ShareWith(crash_watch, this->target_watch);
+	this->configuration_watch.SetRecoveryProbe(this->target_watch);
+	this->peers.SetRecoveryProbe(this->target_watch);
 	this->peers.ShareDivision(this->division, TARGET_TABLE);
-	this->peers.on_listed = [this](TimePoint at) { this->OnListed(at); };
+	this->peers.on_listed = [this](TimePoint at) { this->OnInstancesListed(at); };
 }
 
-void Gateway::BeginTables(TimePoint now)
+void Gateway::StartTables(TimePoint now)
 {
 	if (this->tables_begun) return;
-	TableStart start = this->peers.StartOfTables(now);
-	if (start == TableStart::NotYet) return;
+	TableSource start = this->peers.ChooseTableSource(now);
+	if (start == TableSource::Undecided) return;
 	this->tables_begun = true;
 	this->cells = this->peers.Cells();
 	for (TableWatch *watch : {&this->configuration_watch, &this->target_watch}) {
-		Duration wait = start == TableStart::Ask ? this->peers.WaitForTable() : Duration(0);
+		Duration wait = start == TableSource::Ask ? this->peers.TableTimeout() : Duration(0);
 		Log(LogLevel::Info, "table-begun",
-		    {{"table", watch->Table()}, {"ask", start == TableStart::Ask ? "yes" : "no"}, {"read_in_ms", FormatMilliseconds(wait)}});
+		    {{"table", watch->Table()}, {"ask", start == TableSource::Ask ? "yes" : "no"}, {"read_in_ms", FormatMilliseconds(wait)}});
 		if (wait > Duration(0)) {
-			watch->StartAmongOthers(now + wait);
+			watch->StartFromPeers(now + wait);
 		} else {
 			watch->Start(now);
 		}
 	}
 	// Not later: an instance that starts among others hears of the ends with the first news of the targets.
-	this->ends.Watch().Start(now);
+	this->crash_records.Watch().Start(now);
 }
 
-void Gateway::OnListed(TimePoint now)
+void Gateway::OnInstancesListed(TimePoint now)
 {
-	this->BeginTables(now);
+	this->StartTables(now);
 	if (!this->tables_begun || this->cells == this->peers.Cells()) return;
 	this->cells = this->peers.Cells();
 	this->sharers.clear();
-	this->target_watch.Renew(now + this->peers.WaitForTable());
+	this->target_watch.RefreshSnapshot(now + this->peers.TableTimeout());
 }
 
 void Gateway::SelectTargets(std::vector<StoredRow> &rows, bool whole)
 {
 	uint32_t among = this->peers.Cells();
-	if (among == 1 && this->division.Parts().empty()) return;
+	if (among == 1 && this->division.Shards().empty()) return;
 	std::vector<TargetRow> targets;
 	for (const StoredRow &row : rows) {
 		Result<TargetRow> target = DecodeTargetRow(row);
@@ -77,72 +77,72 @@
 	rows.resize(kept);
 }
 
-void Gateway::FollowOperators()
+void Gateway::FollowConfiguration()
 {
 	TableWatch &watch = this->configuration_watch;
-	this->LogStoreState(watch, "configuration", [this](TimePoint at) { this->places.OnOtherStore(at); });
-	watch.on_all = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnOperatorRows(rows, true, at); };
+	this->LogStoreState(watch, "configuration", [this](TimePoint at) { this->placement.OnStoreRestored(at); });
+	watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnOperatorRows(rows, true, at); };
 	watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnOperatorRows(rows, false, at); };
 }
 
 void Gateway::FollowTargets()
 {
 	TableWatch &watch = this->target_watch;
-	this->LogStoreState(watch, "targets", [this](TimePoint at) { this->registry.OnOtherStore(at); });
-	watch.on_regained = [this, log = watch.on_regained](Duration away, TimePoint at) {
+	this->LogStoreState(watch, "targets", [this](TimePoint at) { this->registry.OnStoreRestored(at); });
+	watch.on_reconnected = [this, log = watch.on_reconnected](Duration away, TimePoint at) {
 		log(away, at);
-		this->registry.OnStoreRegained(at);
+		this->registry.OnStoreReconnected(at);
 	};
-	watch.select = [this](std::vector<StoredRow> &rows, bool whole) { this->SelectTargets(rows, whole); };
-	watch.on_all = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnTargetRows(rows, true, at); };
+	watch.filter_rows = [this](std::vector<StoredRow> &rows, bool whole) { this->SelectTargets(rows, whole); };
+	watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnTargetRows(rows, true, at); };
 	watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnTargetRows(rows, false, at); };
 }
 
 void Gateway::FollowInstances()
 {
-	this->LogStoreState(this->peers.Watch(), "instances", [this](TimePoint at) { this->peers.OnOtherStore(at); });
-	this->peers.make_hall_load = [this](TimePoint at) { return this->hall_load.Tell(at); };
-	this->peers.known_signs = [this](TimePoint at) { return this->KnownSigns(at); };
-	this->peers.on_signs = [this](const SignNews &news) { this->OnPeerSigns(news); };
-	this->peers.on_lease_ask = [this](const LeaseAskMessage &ask) { return this->OnLeaseAsk(ask); };
+	this->LogStoreState(this->peers.Watch(), "instances", [this](TimePoint at) { this->peers.OnStoreRestored(at); });
+	this->peers.make_hall_load = [this](TimePoint at) { return this->hall_load.BuildMessage(at); };
+	this->peers.known_signals = [this](TimePoint at) { return this->KnownSignals(at); };
+	this->peers.on_signals = [this](const TargetSignalUpdate &news) { this->OnPeerSignals(news); };
+	this->peers.on_lease_request = [this](const LeaseRequestMessage &ask) { return this->OnLeaseRequest(ask); };
 	this->peers.on_lease_grant = [this](const LeaseGrantMessage &grant) { this->OnLeaseGrant(grant); };
 	this->peers.on_hall_load = [this](const HallLoadMessage &message) { this->OnHallLoad(message); };
 }
 
-void Gateway::LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_other_store)
+void Gateway::LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_store_restored)
 {
 	// Which version was known, which was read and what the others' mark is tells a store that went back from one that is slow.
-	watch.on_lost = [&watch, table](const RowsAnswer &answer, TimePoint) {
+	watch.on_unavailable = [&watch, table](const RowsAnswer &answer, TimePoint) {
 		Log(LogLevel::Warning, "store-lost",
 		    {{"table", table},
 		     {"failure", StoreFailureName(answer.failure)},
 		     {"cause", answer.cause},
 		     {"known", FormatVersion(watch.Version())}});
 	};
-	watch.on_regained = [&watch, table](Duration away, TimePoint) {
+	watch.on_reconnected = [&watch, table](Duration away, TimePoint) {
 		Log(LogLevel::Info, "store-regained",
 		    {{"table", table},
 		     {"away_ms", FormatMilliseconds(away)},
 		     {"known", FormatVersion(watch.Version())},
 		     {"last_change", FormatVersion(watch.RowsVersion())}});
 	};
-	watch.on_older = [&watch, table](StoreVersion read) {
+	watch.on_stale_snapshot = [&watch, table](StoreVersion read) {
 		Log(LogLevel::Warning, "store-older", {{"table", table}, {"known", FormatVersion(watch.Version())}, {"read", FormatVersion(read)}});
 	};
-	watch.on_other_store = [this, table, then = std::move(on_other_store)](const StoreChange &change, TimePoint at) {
+	watch.on_store_restored = [this, table, then = std::move(on_store_restored)](const StoreEpochChange &change, TimePoint at) {
 		this->metrics.Count("cottonspool_store_changes_total{table=\"" + std::string(table) + "\"}");
 		Log(LogLevel::Warning, "store-other",
 		    {{"table", table},
 		     {"known", FormatVersion(change.known)},
 		     {"read", FormatVersion(change.read)},
-		     {"source", change.told ? "peer" : "store"}});
+		     {"source", change.from_peer ? "peer" : "store"}});
 		then(at);
 	};
 }
 
 void Gateway::OnOperatorRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
 {
-	this->OnEmptiedRows(rows, all, now);
+	this->OnEvacuationRows(rows, all, now);
 	this->OnConfigurationRows(rows);
 }
 
--- a/src/gateway/gateway_targets.cpp
+++ b/src/gateway/gateway_targets.cpp
@@ -14,14 +14,14 @@
 static constexpr double REPORT_JITTER =
         0.3; ///< Part of the time between reports by which each is moved, so that instances don't ask together.
 
-void Gateway::RefreshScope()
+void Gateway::RefreshPeerScope()
 {
 	size_t in_hall = 0;
 	for (const auto &[id, target] : this->usable) {
 		const Pool *pool = this->routes.FindPool(target.pool);
 		if (pool != nullptr && pool->engine && target.hall == this->settings.hall) in_hall++;
 	}
-	bool only = in_hall >= (this->peers.IsHallOnly() ? this->limits.hall_engines_least : this->limits.hall_engines);
+	bool only = in_hall >= (this->peers.IsHallOnly() ? this->limits.hall_scope_leave_engines : this->limits.hall_scope_enter_engines);
 	if (only == this->peers.IsHallOnly()) return;
 	this->peers.SetHallOnly(only);
 	Log(LogLevel::Info, "scope", {{"hall_only", only ? "yes" : "no"}, {"engines_in_hall", std::to_string(in_hall)}});
@@ -43,72 +43,73 @@
 		} else {
 			// It names no target to use, also if it named one before.
 			decoded.push_back({row.key, std::nullopt});
-			this->NoteUnreadable(row.key, target.error());
+			this->ReportUnreadable(row.key, target.error());
 		}
 	}
-	this->OnTargetEvents(all ? this->registry.OnAll(decoded, now) : this->registry.OnChanges(decoded, now), now);
+	this->OnTargetEvents(all ? this->registry.OnFullList(decoded, now) : this->registry.OnChanges(decoded, now), now);
 }
 
-void Gateway::NoteUnreadable(const std::string &key, const Error &error)
+void Gateway::ReportUnreadable(const std::string &key, const Error &error)
 {
-	static constexpr size_t MOST_NAMED = 256; ///< Rows whose fault is remembered: whoever writes more of them is told of no more.
+	static constexpr size_t MAX_REMEMBERED = 256; ///< Rows whose fault is remembered: whoever writes more of them is told of no more.
 	this->metrics.Count("cottonspool_unreadable_rows_total");
 	std::string &told = this->unreadable[key];
-	if (told == error.message || this->unreadable.size() > MOST_NAMED) return;
+	if (told == error.message || this->unreadable.size() > MAX_REMEMBERED) return;
 	told = error.message;
 	Log(LogLevel::Warning, "target-unreadable", {{"target", key}, {"error", FormatError(error)}});
 }
 
 void Gateway::OnTargetEvents(const std::vector<TargetEvent> &events, TimePoint now)
 {
-	static constexpr size_t MOST_LOGGED = 64; // A whole list is told in one line.
-	bool log_each = events.size() <= MOST_LOGGED;
+	static constexpr size_t MAX_LOGGED_EACH = 64; // A whole list is told in one line.
+	bool log_each = events.size() <= MAX_LOGGED_EACH;
 	if (!log_each) Log(LogLevel::Info, "targets-changed", {{"targets", std::to_string(events.size())}, {"source", events.front().source}});
 	for (const TargetEvent &event : events) {
-		std::string name = event.target.life.Name();
-		if (event.change != TargetChange::Usable) {
-			this->LeaveTarget(event.target, event.source, now);
-			if (event.change == TargetChange::Ended) this->EndTarget(name, now);
+		std::string name = event.target.incarnation.Name();
+		if (event.change != TargetChange::EligibleTargets) {
+			this->DrainTarget(event.target, event.source, now);
+			if (event.change == TargetChange::Terminated) this->FailCallsAt(name, now);
 			continue;
 		}
 		this->usable[name] = event.target;
 		this->UseTarget(event.target);
 		if (std::optional<TargetNumber> number = this->dispatcher.Targets().Find(name))
-			this->NoteCold(*number, event.target, event.target.cold_left, now);
+			this->MarkCold(*number, event.target, event.target.cold_remaining, now);
 		if (!log_each) continue;
 		Log(LogLevel::Info, "target-usable",
 		    {{"target", name}, {"pool", event.target.pool}, {"hall", event.target.hall}, {"source", event.source}});
 	}
 	if (events.empty()) return;
-	this->RefreshPolled(now);
-	this->RefreshScope();
-	this->Carry(this->dispatcher.OnPlacesChanged(now));
+	this->RefreshPolledTargets(now);
+	this->RefreshPeerScope();
+	this->Execute(this->dispatcher.OnPlacementChanged(now));
 }
 
 void Gateway::UseTarget(const ListedTarget &listed)
 {
 	Result<Endpoint> address = ParseEndpoint(listed.address);
 	if (!address)
-		return Log(LogLevel::Warning, "target-unreadable", {{"target", listed.life.Name()}, {"error", FormatError(address.error())}});
+		return Log(LogLevel::Warning, "target-unreadable",
+		           {{"target", listed.incarnation.Name()}, {"error", FormatError(address.error())}});
 	const Pool *pool = this->routes.FindPool(listed.pool);
 	bool engine = pool != nullptr && pool->engine;
 	TargetTable &targets = this->dispatcher.Targets();
-	TargetNumber number = targets.Configure(listed.life.Name(), listed.hall, {this->pools.Intern(listed.pool)}, engine);
-	targets.ClearLeaving(number);
-	targets.SetUnreported(number, engine ? pool->engine->memory_tokens : listed.slots);
+	TargetNumber number = targets.Configure(listed.incarnation.Name(), listed.hall, {this->pools.Intern(listed.pool)}, engine);
+	targets.ClearDraining(number);
+	targets.SetServiceCapacity(number, engine ? pool->engine->memory_tokens : listed.slots);
 	if (this->records.size() <= number.value) this->records.resize(number.value + 1);
 	TargetRecord &record = this->records[number.value];
 	// The reader of a new target's reports gets the time to tell its first one.
 	if (record.reported_at == TimePoint{}) record.reported_at = MonotonicNow();
 	record.address = address.value();
 	record.pool = listed.pool;
-	record.life = listed.life;
+	record.incarnation = listed.incarnation;
 	record.engine = engine;
 }
 
-void Gateway::LeaveTarget(const ListedTarget &listed, const char *source, TimePoint now)
+void Gateway::DrainTarget(const ListedTarget &listed, const char *source, TimePoint now)
 {
-	std::string name = listed.life.Name();
+	std::string name = listed.incarnation.Name();
 	this->usable.erase(name);
 	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(name);
 	Log(LogLevel::Info, "target-leaving",
@@ -117,17 +118,17 @@
 	     {"source", source},
 	     {"own_calls", number ? std::to_string(this->dispatcher.Targets().Get(*number).in_flight.size()) : "0"}});
 	if (!number) return;
-	this->dispatcher.Targets().MarkLeaving(*number);
+	this->dispatcher.Targets().MarkDraining(*number);
 	this->dispatcher.Targets().Forget(*number);
-	this->upstream.Drop(name);
+	this->upstream.CloseIdle(name);
 	for (CallId id : this->dispatcher.CallsAt(*number)) {
 		auto found = this->calls.find(id);
 		std::shared_ptr<RelayCall> call = found == this->calls.end() ? nullptr : found->second;
-		if (call) call->OnTargetLeaving(now);
+		if (call) call->OnTargetDraining(now);
 	}
 }
 
-void Gateway::EndTarget(const std::string &name, TimePoint now)
+void Gateway::FailCallsAt(const std::string &name, TimePoint now)
 {
 	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(name);
 	if (!number) return;
@@ -135,19 +136,19 @@
 	for (CallId id : this->dispatcher.CallsAt(*number)) {
 		auto found = this->calls.find(id);
 		std::shared_ptr<RelayCall> call = found == this->calls.end() ? nullptr : found->second;
-		if (call) call->OnTargetEnded();
+		if (call) call->OnTargetCrashed();
 	}
-	this->end_watch.OnOtherLife(name, now);
+	this->crash_watch.OnOtherIncarnation(name, now);
 }
 
-void Gateway::RefreshPolled(TimePoint now)
+void Gateway::RefreshPolledTargets(TimePoint now)
 {
 	this->polled_at = now;
-	this->polled.clear();
+	this->polled_targets.clear();
 	for (const auto &[name, listed] : this->usable) {
 		if (this->peers.IsHallOnly() && listed.hall != this->settings.hall) continue;
 		std::optional<TargetNumber> number = this->dispatcher.Targets().Find(name);
-		if (number && this->records[number->value].engine) this->polled.push_back(*number);
+		if (number && this->records[number->value].engine) this->polled_targets.push_back(*number);
 	}
 }
 
@@ -155,19 +156,20 @@
 static bool IsIdle(const TargetState &target)
 {
 	bool used = !target.in_flight.empty() || target.report.running + target.report.waiting > 0;
-	return !used && std::all_of(target.told.begin(), target.told.end(), [](const auto &told) { return told.second.held.calls == 0; });
+	return !used &&
+	       std::all_of(target.hall_loads.begin(), target.hall_loads.end(), [](const auto &told) { return told.second.held.calls == 0; });
 }
 
 void Gateway::PollReports(TimePoint now)
 {
 	static constexpr Duration LOOK = std::chrono::seconds(1); // Which halls are looked at also changes with the instances.
-	if (now - this->polled_at >= LOOK) this->RefreshPolled(now);
+	if (now - this->polled_at >= LOOK) this->RefreshPolledTargets(now);
 	// Reports of idle engines tell nothing new, unless others use them unheard, or say there that they leave.
-	bool asks_idle = this->target_watch.IsLost() || !this->peers.HearsMost();
-	for (TargetNumber number : this->polled) {
+	bool asks_idle = this->target_watch.IsUnavailable() || !this->peers.HearsMost();
+	for (TargetNumber number : this->polled_targets) {
 		TargetRecord &record = this->records[number.value];
 		const TargetState &target = this->dispatcher.Targets().Get(number);
-		if (record.report_call != 0 && now >= record.report_limit) {
+		if (record.report_call != 0 && now >= record.report_timeout) {
 			this->upstream.Cancel(record.report_call);
 			record.report_call = 0;
 		}
@@ -177,22 +179,23 @@
 		}
 		if (record.report_call != 0 || now < record.next_report) continue;
 		// It wants nothing from this instance: another one reads its reports once it hears none.
-		if (now < target.bounds.paused_until) continue;
+		if (now < target.restrictions.paused_until) continue;
 		// One instance reads a target's reports for all; the others read them only when they hear nothing.
-		Duration patience = FromSeconds(Seconds(this->limits.report_poll) * this->limits.report_patience);
+		Duration patience = FromSeconds(Seconds(this->limits.report_poll_interval) * this->limits.report_takeover_periods);
 		TimePoint heard = std::max(record.reported_at, record.idle_at);
 		if (now - heard < patience && !this->peers.ReadsReportsOf(target.name)) {
 			// Whose turn it is changes with the instances that live: looked up again soon, but not at every step.
-			record.next_report = std::min(heard + patience, now + this->limits.report_poll);
+			record.next_report = std::min(heard + patience, now + this->limits.report_poll_interval);
 			continue;
 		}
 		this->PollReport(number, now);
 	}
 }
 
-Duration Gateway::ReportPeriod(const TargetState &target) const
+Duration Gateway::ReportInterval(const TargetState &target) const
 {
-	return this->target_watch.IsLost() && !IsIdle(target) ? this->limits.report_poll_alone : this->limits.report_poll;
+	return this->target_watch.IsUnavailable() && !IsIdle(target) ? this->limits.report_poll_interval_store_down
+	                                                             : this->limits.report_poll_interval;
 }
 
 void Gateway::PollReport(TargetNumber number, TimePoint now)
@@ -200,8 +203,8 @@
 	TargetRecord &record = this->records[number.value];
 	const TargetState &target = this->dispatcher.Targets().Get(number);
 	double jitter = std::uniform_real_distribution<double>(1 - REPORT_JITTER, 1 + REPORT_JITTER)(this->random);
-	record.next_report = now + FromSeconds(Seconds(this->ReportPeriod(target)) * jitter);
-	record.report_limit = now + this->limits.report_limit;
+	record.next_report = now + FromSeconds(Seconds(this->ReportInterval(target)) * jitter);
+	record.report_timeout = now + this->limits.report_timeout;
 	record.report_call = this->upstream.Start(MakeReportCall(
 	        record.address, target.name, [this, number](const std::optional<EngineReport> &report) { this->OnReport(number, report); }));
 }
@@ -211,9 +214,9 @@
 	TargetRecord &record = this->records[number.value];
 	record.report_call = 0;
 	if (!told || told->memory_tokens == 0) return;
-	if (record.life.IsOther(told->born)) {
+	if (record.incarnation.IsOtherIncarnation(told->started_ms)) {
 		TimePoint now = MonotonicNow();
-		return this->OnTargetEvents(this->registry.OnOtherLife(record.life.Name(), now), now);
+		return this->OnTargetEvents(this->registry.OnOtherIncarnation(record.incarnation.Name(), now), now);
 	}
 	LoadReport report;
 	report.capacity_tokens = told->memory_tokens;
@@ -221,19 +224,19 @@
 	report.running = told->running;
 	report.waiting = told->waiting;
 	report.waiting_tokens = told->waiting_tokens;
-	report.leaving = told->leaving && this->limits.use_own_notice;
+	report.draining = told->draining && this->limits.use_drain_notice;
 	this->LogReport(number, report);
-	this->peers.TellReport(this->dispatcher.Targets().Get(number).name, report);
+	this->peers.PublishReport(this->dispatcher.Targets().Get(number).name, report);
 	// A notice that only the report tells leaves little time to move runs: the others hear of it at once.
-	if (report.leaving) this->peers.Flush();
-	this->TakeReport(number, std::move(report), this->limits.report_age);
+	if (report.draining) this->peers.Flush();
+	this->ApplyReport(number, std::move(report), this->limits.report_age);
 }
 
 void Gateway::LogReport(TargetNumber number, const LoadReport &report)
 {
 	TimePoint now = MonotonicNow();
 	const TargetState &target = this->dispatcher.Targets().Get(number);
-	HeldLoad held = this->dispatcher.Targets().HeldAt(target, now);
+	HeldLoad held = this->dispatcher.Targets().TotalLoadAt(target, now);
 	// What was believed before this report beside what it says: how wrong placing was here.
 	Log(LogLevel::Info, "report",
 	    {{"target", target.name},
@@ -247,33 +250,33 @@
 	     {"believed_calls", std::to_string(held.calls)},
 	     {"known_calls", std::to_string(target.in_flight.size())},
 	     {"pressure", FormatNumber(this->dispatcher.Targets().Pressure(target, now))},
-	     {"leaving", report.leaving ? "yes" : "no"}});
+	     {"leaving", report.draining ? "yes" : "no"}});
 }
 
-void Gateway::OnPeerReport(const ReportNews &news)
+void Gateway::OnPeerReport(const ReportUpdate &news)
 {
 	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
-	if (number && number->value < this->records.size()) this->TakeReport(*number, news.report, this->limits.report_age);
+	if (number && number->value < this->records.size()) this->ApplyReport(*number, news.report, this->limits.report_age);
 }
 
 void Gateway::OnHallLoad(const HallLoadMessage &message)
 {
-	for (const ReportNews &news : this->hall_load.OnMessage(message, MonotonicNow())) {
+	for (const ReportUpdate &news : this->hall_load.OnMessage(message, MonotonicNow())) {
 		std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
-		if (number && number->value < this->records.size()) this->TakeReport(*number, news.report, this->limits.hall_load_age);
+		if (number && number->value < this->records.size()) this->ApplyReport(*number, news.report, this->limits.hall_load_age);
 	}
 }
 
-void Gateway::TakeReport(TargetNumber number, LoadReport report, Duration age)
+void Gateway::ApplyReport(TargetNumber number, LoadReport report, Duration age)
 {
 	TargetRecord &record = this->records[number.value];
 	record.reported_at = MonotonicNow();
 	report.sequence = ++record.reports;
 	report.age = age;
-	this->Carry(this->dispatcher.OnReport(number, report, record.reported_at));
-	if (!report.leaving) return;
+	this->Execute(this->dispatcher.OnReport(number, report, record.reported_at));
+	if (!report.draining) return;
 	std::string name = this->dispatcher.Targets().Get(number).name;
-	this->OnTargetEvents(this->registry.OnOwnNotice(name, "own-notice", record.reported_at), record.reported_at);
+	this->OnTargetEvents(this->registry.OnDrainNotice(name, "own-notice", record.reported_at), record.reported_at);
 }
 
 } // namespace cottonspool
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -11,19 +11,19 @@
 namespace cottonspool {
 
 /** Time whose worth of rows may be passed on at once: one configuration to a whole hall. */
-static constexpr Duration PASS_ON_SAVED = std::chrono::seconds(2);
+static constexpr Duration BUDGET_BURST = std::chrono::seconds(2);
 static const char *const HALL_LOAD_KEY = "hall-load"; ///< Key by which a hall's instances choose the one that tells the other halls.
 static const char *const INSTANCE_TABLE = "cottonspool-instances"; ///< Table in which instances find each other.
 
 /** @return Milliseconds since the epoch; grows with each start of an instance of the same name. */
-static uint64_t StartNumber()
+static uint64_t NewIncarnationNumber()
 {
 	auto now = std::chrono::system_clock::now().time_since_epoch();
 	return static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
 /** @return \a row as it stands in the store: its fields between blanks, the hall last, as its name may hold blanks. */
-static std::string EncodePlace(const PeerPlace &row)
+static std::string EncodeLocation(const PeerLocation &row)
 {
 	std::ostringstream text;
 	text << row.address << ' ' << row.link_mbps << ' ' << row.hall;
@@ -31,9 +31,9 @@
 }
 
 /** @return What \a text tells; fields that it lacks stay empty. */
-static PeerPlace DecodePlace(const std::string &text)
+static PeerLocation DecodeLocation(const std::string &text)
 {
-	PeerPlace row;
+	PeerLocation row;
 	std::istringstream in(text);
 	in >> row.address >> row.link_mbps >> std::ws;
 	std::getline(in, row.hall);
@@ -42,11 +42,11 @@
 
 PeerExchange::PeerExchange(uv_loop_s *loop, TableStore &store, PeerLoad &load, std::string name, std::string hall, ExchangeLimits limits,
                            ReportHandler on_report)
-    : store(store), load(load), name(std::move(name)), hall(std::move(hall)), incarnation(StartNumber()), limits(limits),
+    : store(store), load(load), name(std::move(name)), hall(std::move(hall)), incarnation(NewIncarnationNumber()), limits(limits),
       sharing(this->name, this->hall), on_report(std::move(on_report)),
       links(loop, [this](const PeerMessage &message, const PeerLinks::Reply &reply) { this->OnMessage(message, reply); }),
       watch(store, INSTANCE_TABLE, limits.watch), directory(this->name, this->hall, limits.dial),
-      pass_on(limits.pass_on_bytes, PASS_ON_SAVED), hand_over(limits.hand_over_bytes, PASS_ON_SAVED)
+      forward_budget(limits.forward_bytes_per_s, BUDGET_BURST), snapshot_budget(limits.snapshot_bytes_per_s, BUDGET_BURST)
 {
 	this->waiting.instance = this->name;
 	this->waiting.incarnation = this->incarnation;
@@ -60,17 +60,17 @@
 	to_share.on_call = [table = to_share.Table()](ReadReason reason) {
 		Log(LogLevel::Info, "store-call", {{"table", table}, {"why", ReadReasonName(reason)}});
 	};
-	to_share.on_read = [this](const TableNews &news) { this->TellTables({this->name, this->hall, false, {news}}, {}); };
+	to_share.on_publish = [this](const TableUpdate &news) { this->PublishTables({this->name, this->hall, false, {news}}, {}); };
 }
 
-void PeerExchange::ShareWith(TableWatch &watch, TableWatch &lead)
+void PeerExchange::ShareWith(TableWatch &watch, TableWatch &lead_table)
 {
-	watch.ReadWith(lead);
+	watch.SetLeadTable(lead_table);
 	this->Share(watch);
-	lead.on_read = [this, &watch](const TableNews &news) {
+	lead_table.on_publish = [this, &watch](const TableUpdate &news) {
 		TablesMessage message{this->name, this->hall, false, {news}};
-		if (std::optional<TableNews> sign = watch.SignOfLife()) message.tables.push_back(std::move(*sign));
-		this->TellTables(std::move(message), {});
+		if (std::optional<TableUpdate> sign = watch.HeartbeatUpdate()) message.tables.push_back(std::move(*sign));
+		this->PublishTables(std::move(message), {});
 	};
 }
 
@@ -78,15 +78,15 @@
 {
 	Log(LogLevel::Info, "cells",
 	    {{"cells", std::to_string(this->Cells())},
-	     {"decided", FormatVersion(this->directory.Cells().decided)},
+	     {"decided", FormatVersion(this->directory.Cells().decided_at)},
 	     {"instances", std::to_string(this->Instances())},
-	     {"in_cell", std::to_string(this->directory.InCell() + 1)}});
+	     {"in_cell", std::to_string(this->directory.CellPeerCount() + 1)}});
 	if (this->on_listed) this->on_listed(now);
 }
 
-void PeerExchange::AskLease(const std::string &owner, const LeaseAskMessage &ask)
+void PeerExchange::RequestLease(const std::string &owner, const LeaseRequestMessage &ask)
 {
-	if (const PeerPlace *place = this->directory.Find(owner)) this->links.SendTo(place->address, ask);
+	if (const PeerLocation *location = this->directory.Find(owner)) this->links.SendTo(location->address, ask);
 }
 
 void PeerExchange::OnMessage(const PeerMessage &message, const PeerLinks::Reply &reply)
@@ -95,80 +95,80 @@
 	if (auto load_news = std::get_if<LoadMessage>(&message)) {
 		if (load_news->instance == this->name) return;
 		this->load.OnMessage(*load_news, now);
-		for (const ReportNews &report : load_news->reports) this->on_report(report);
+		for (const ReportUpdate &report : load_news->reports) this->on_report(report);
 	}
 	if (auto presence = std::get_if<PresenceMessage>(&message)) {
 		this->OnPresence(*presence, now);
 		// Who divides the fleet in another way may take one of another cell for one of its own, which does not dial it.
-		bool behind = presence->cells.decided < this->directory.Cells().decided || presence->instances < this->Instances();
+		bool behind = presence->cells.decided_at < this->directory.Cells().decided_at || presence->instances < this->Instances();
 		if (behind) reply(this->Presence());
 	}
 	if (auto tables = std::get_if<TablesMessage>(&message)) this->OnTables(*tables, now);
-	if (auto tables_ask = std::get_if<TablesAskMessage>(&message)) this->OnTablesAsk(*tables_ask, reply, now);
-	if (auto ask = std::get_if<LeaseAskMessage>(&message))
-		reply(LeaseGrantMessage{this->name, ask->target, ask->number, this->on_lease_ask ? this->on_lease_ask(*ask) : 0});
+	if (auto tables_ask = std::get_if<TablesRequestMessage>(&message)) this->OnTablesRequest(*tables_ask, reply, now);
+	if (auto ask = std::get_if<LeaseRequestMessage>(&message))
+		reply(LeaseGrantMessage{this->name, ask->target, ask->number, this->on_lease_request ? this->on_lease_request(*ask) : 0});
 	if (auto grant = std::get_if<LeaseGrantMessage>(&message)) {
 		if (this->on_lease_grant) this->on_lease_grant(*grant);
 	}
-	if (auto signs = std::get_if<SignsMessage>(&message)) this->OnSigns(*signs);
+	if (auto signals = std::get_if<SignalsMessage>(&message)) this->OnSignals(*signals);
 	if (auto hall_load = std::get_if<HallLoadMessage>(&message)) this->OnHallLoad(*hall_load);
 }
 
 void PeerExchange::OnHallLoad(const HallLoadMessage &message)
 {
 	if (this->on_hall_load) this->on_hall_load(message);
-	if (message.relayed || message.hall == this->hall) return;
-	HallLoadMessage relayed = message;
-	relayed.relayed = true;
-	this->links.Broadcast(relayed, this->relays);
+	if (message.forwarded || message.hall == this->hall) return;
+	HallLoadMessage forwarded = message;
+	forwarded.forwarded = true;
+	this->links.Broadcast(forwarded, this->forwarders);
 }
 
-void PeerExchange::TellSigns(SignNews news, TimePoint asked)
+void PeerExchange::PublishSignals(TargetSignalUpdate news, TimePoint tables_requests_sent)
 {
-	WaitingSigns &waiting = this->waiting_signs[news.target];
-	news.leaving = news.leaving || waiting.news.leaving;
-	waiting = {std::move(news), asked};
+	PendingSignals &waiting = this->pending_signals[news.target];
+	news.draining = news.draining || waiting.news.draining;
+	waiting = {std::move(news), tables_requests_sent};
 }
 
-void PeerExchange::FlushSigns(TimePoint now)
+void PeerExchange::FlushSignals(TimePoint now)
 {
-	if (this->waiting_signs.empty()) return;
-	SignsMessage message{this->name, this->hall, false, {}};
-	for (auto &[target, waiting] : this->waiting_signs) {
-		waiting.news.asked_ago = now - waiting.asked;
+	if (this->pending_signals.empty()) return;
+	SignalsMessage message{this->name, this->hall, false, {}};
+	for (auto &[target, waiting] : this->pending_signals) {
+		waiting.news.request_age = now - waiting.tables_requests_sent;
 		message.news.push_back(waiting.news);
 	}
-	this->waiting_signs.clear();
+	this->pending_signals.clear();
 	this->links.Broadcast(message);
 }
 
-void PeerExchange::OnSigns(const SignsMessage &message)
+void PeerExchange::OnSignals(const SignalsMessage &message)
 {
 	if (message.instance == this->name) return;
-	for (const SignNews &news : message.news) this->on_signs(news);
-	if (!this->directory.IsHallOnly() || message.relayed) return;
-	SignsMessage relayed = message;
+	for (const TargetSignalUpdate &news : message.news) this->on_signals(news);
+	if (!this->directory.IsHallOnly() || message.forwarded) return;
+	SignalsMessage forwarded = message;
 	bool own = message.hall == this->hall;
 	// The news of a hall reach the others through the one of its instances that has links there, and the one that they go to.
-	relayed.relayed = !own;
-	if (!own) this->links.Broadcast(relayed, this->relays);
+	forwarded.forwarded = !own;
+	if (!own) this->links.Broadcast(forwarded, this->forwarders);
 	if (own) {
-		for (const std::string &relay : this->relays) this->links.SendTo(relay, relayed);
+		for (const std::string &relay : this->forwarders) this->links.SendTo(relay, forwarded);
 	}
 }
 
-void PeerExchange::TellHalls(TimePoint now)
+void PeerExchange::PublishHallLoad(TimePoint now)
 {
-	this->tell_halls_at = now + this->limits.hall_load_period;
-	if (this->relays.empty()) return;
+	this->next_hall_load_at = now + this->limits.hall_load_period;
+	if (this->forwarders.empty()) return;
 	HallLoadMessage message = this->make_hall_load(now);
-	bool same = message.IsEmpty() && this->told_empty;
-	if (same && now - this->told_halls_at < this->limits.hall_idle_period) return;
-	this->told_halls_at = now;
-	this->told_empty = message.IsEmpty();
-	auto sums = static_cast<int>(message.at_home.size() + message.abroad.size());
-	this->tell_halls_at = now + std::max(this->limits.hall_load_period, this->limits.hall_load_each * sums);
-	for (const std::string &relay : this->relays) this->links.SendTo(relay, message);
+	bool same = message.IsEmpty() && this->sent_empty_load;
+	if (same && now - this->hall_load_sent_at < this->limits.hall_idle_period) return;
+	this->hall_load_sent_at = now;
+	this->sent_empty_load = message.IsEmpty();
+	auto sums = static_cast<int>(message.local_targets.size() + message.remote_targets.size());
+	this->next_hall_load_at = now + std::max(this->limits.hall_load_period, this->limits.hall_load_interval_per_sum * sums);
+	for (const std::string &relay : this->forwarders) this->links.SendTo(relay, message);
 }
 
 Result<void> PeerExchange::Start(const Endpoint &at, TimePoint now)
@@ -177,17 +177,18 @@
 	this->address = Endpoint{at.ip, port}.Text();
 	this->links.on_link_open = [this](const std::string &to) {
 		this->links.SendTo(to, this->Presence());
-		if (!this->relays.contains(to)) this->links.SendTo(to, this->Whole());
-		std::vector<SignNews> known = this->known_signs ? this->known_signs(MonotonicNow()) : std::vector<SignNews>{};
-		if (!known.empty()) this->links.SendTo(to, SignsMessage{this->name, this->hall, true, std::move(known)});
+		if (!this->forwarders.contains(to)) this->links.SendTo(to, this->MakeLoadSnapshot());
+		std::vector<TargetSignalUpdate> known =
+		        this->known_signals ? this->known_signals(MonotonicNow()) : std::vector<TargetSignalUpdate>{};
+		if (!known.empty()) this->links.SendTo(to, SignalsMessage{this->name, this->hall, true, std::move(known)});
 	};
 	this->links.on_link_closed = [](const std::string &to) { Log(LogLevel::Info, "peer-link-closed", {{"peer", to}}); };
-	this->watch.on_all = [this](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(rows, true); };
+	this->watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(rows, true); };
 	this->watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(rows, false); };
 	this->started = now;
 	// Whoever reads after its own row was written sees all that were written before, and those written later see it. Where rows are
 	// left from an earlier life it reads first: its own may stand there as it is, and most starts then need one call instead of two.
-	if (this->limits.first_start) {
+	if (this->limits.bootstrap) {
 		this->Register(now);
 	} else {
 		this->BeginReading(now);
@@ -198,20 +199,20 @@
 void PeerExchange::Register(TimePoint now)
 {
 	Log(LogLevel::Info, "store-call", {{"table", INSTANCE_TABLE}, {"why", "register"}});
-	this->register_at = now + this->limits.register_limit;
-	PeerPlace own{this->address, this->hall, this->limits.link_mbps};
-	this->register_call = this->store.WriteRow(INSTANCE_TABLE, this->name, EncodePlace(own), [this](StoreWrite result) {
+	this->register_at = now + this->limits.register_timeout;
+	PeerLocation own{this->address, this->hall, this->limits.link_mbps};
+	this->register_call = this->store.WriteRow(INSTANCE_TABLE, this->name, EncodeLocation(own), [this](StoreWriteResult result) {
 		this->register_call = 0;
 		this->OnRegistered(result, MonotonicNow());
 	});
 }
 
-void PeerExchange::OnRegistered(StoreWrite result, TimePoint now)
+void PeerExchange::OnRegistered(StoreWriteResult result, TimePoint now)
 {
-	this->registered = result == StoreWrite::Done;
-	this->register_at = now + this->limits.register_pause;
+	this->registered = result == StoreWriteResult::Done;
+	this->register_at = now + this->limits.register_retry_delay;
 	// A store that turns many away together must not be asked by all of them together again.
-	auto spread_ms = std::chrono::duration_cast<std::chrono::milliseconds>(this->limits.register_spread).count();
+	auto spread_ms = std::chrono::duration_cast<std::chrono::milliseconds>(this->limits.register_jitter).count();
 	uint64_t spread = HashText(this->name, ++this->registrations) % static_cast<uint64_t>(spread_ms);
 	if (!this->registered) this->register_at += std::chrono::milliseconds(spread);
 	if (!this->reading) return this->BeginReading(now);
@@ -225,55 +226,55 @@
 	this->watch.Start(now);
 }
 
-void PeerExchange::Leave()
+void PeerExchange::Deregister()
 {
-	this->leaving = true;
-	this->store.RemoveRow(INSTANCE_TABLE, this->name, [](StoreWrite) {});
+	this->draining = true;
+	this->store.RemoveRow(INSTANCE_TABLE, this->name, [](StoreWriteResult) {});
 }
 
-void PeerExchange::OnOtherStore(TimePoint now)
+void PeerExchange::OnStoreRestored(TimePoint now)
 {
-	this->list_forgotten = true;
+	this->verify_list = true;
 	// A call that is under way may have written to the former store.
 	if (this->register_call != 0) this->store.Cancel(this->register_call);
 	this->register_call = 0;
-	auto spread_ms = std::chrono::duration_cast<std::chrono::milliseconds>(this->limits.register_spread).count();
+	auto spread_ms = std::chrono::duration_cast<std::chrono::milliseconds>(this->limits.register_jitter).count();
 	this->register_at = now + std::chrono::milliseconds(HashText(this->name, this->incarnation) % static_cast<uint64_t>(spread_ms));
 }
 
-void PeerExchange::ForgetPeers()
+void PeerExchange::ResetPeers()
 {
-	if (!this->list_forgotten) return this->directory.Clear();
-	this->list_forgotten = false;
+	if (!this->verify_list) return this->directory.Clear();
+	this->verify_list = false;
 	for (const std::string &peer : this->directory.Names()) {
-		const PeerPlace *place = this->directory.Find(peer);
-		if (this->links.StateOf(place->address) != LinkState::Open) this->directory.Remove(peer);
+		const PeerLocation *location = this->directory.Find(peer);
+		if (this->links.LinkStateOf(location->address) != LinkState::Open) this->directory.Remove(peer);
 	}
 }
 
 void PeerExchange::OnRows(const std::vector<StoredRow> &rows, bool all)
 {
 	size_t before = this->directory.Size();
-	if (all) this->ForgetPeers();
+	if (all) this->ResetPeers();
 	if (all) this->registered = false;
 	for (const StoredRow &row : rows) {
-		PeerPlace place = DecodePlace(row.value);
+		PeerLocation location = DecodeLocation(row.value);
 		bool own = row.key == this->name;
 		// The removal that an earlier life of this instance asked for may be done late: the row is then written again at a tick,
 		// with a pause after a failure, however often news come.
-		if (own) this->registered = !row.deleted && place.address == this->address && place.hall == this->hall;
+		if (own) this->registered = !row.deleted && location.address == this->address && location.hall == this->hall;
 		// A row that names no address is another writer's: it names nobody to talk to.
-		if (row.deleted || !ParseEndpoint(place.address)) {
+		if (row.deleted || !ParseEndpoint(location.address)) {
 			this->directory.Remove(row.key);
 		} else {
-			this->directory.Note(row.key, place);
+			this->directory.Update(row.key, location);
 		}
 	}
 	TimePoint now = MonotonicNow();
 	if (this->directory.Size() != before) this->list_changed = now;
-	bool growing = this->limits.first_start && now - this->started < this->limits.list_most;
-	bool divided = this->directory.Divide(all, this->watch.Version(), growing);
-	this->instances_told = std::max<uint32_t>(this->instances_told, static_cast<uint32_t>(this->directory.Size() + 1));
+	bool bootstrapping = this->limits.bootstrap && now - this->started < this->limits.list_max_wait;
+	bool divided = this->directory.Divide(all, this->watch.Version(), bootstrapping);
+	this->max_known_instances = std::max<uint32_t>(this->max_known_instances, static_cast<uint32_t>(this->directory.Size() + 1));
 	this->Dial(now);
 	if (divided) {
 		this->OnCellsChanged(now);
@@ -284,18 +285,18 @@
 
 PresenceMessage PeerExchange::Presence() const
 {
-	PeerPlace own{this->address, this->hall, this->limits.link_mbps};
+	PeerLocation own{this->address, this->hall, this->limits.link_mbps};
 	return {this->name, own, static_cast<uint32_t>(this->Instances()), this->directory.Cells()};
 }
 
 void PeerExchange::OnPresence(const PresenceMessage &message, TimePoint now)
 {
 	if (message.instance == this->name) return;
-	this->instances_told = std::max(this->instances_told, message.instances);
-	bool divided = this->directory.OnToldCells(message.cells);
-	if (!divided && this->links.StateOf(message.place.address) == LinkState::Open) return;
+	this->max_known_instances = std::max(this->max_known_instances, message.instances);
+	bool divided = this->directory.OnPeerCellCount(message.cells);
+	if (!divided && this->links.LinkStateOf(message.location.address) == LinkState::Open) return;
 	size_t before = this->directory.Size();
-	this->directory.NoteAlive(message.instance, message.place);
+	this->directory.OnPeerAlive(message.instance, message.location);
 	if (this->directory.Size() != before) this->list_changed = now;
 	if (divided) this->OnCellsChanged(now);
 	this->Dial(now);
@@ -304,20 +305,20 @@
 size_t PeerExchange::Instances() const
 {
 	if (!this->watch.IsKnown()) return 0;
-	return std::max<size_t>(this->directory.Size() + 1, this->instances_told);
+	return std::max<size_t>(this->directory.Size() + 1, this->max_known_instances);
 }
 
 bool PeerExchange::HearsMost() const
 {
 	// This instance is among the readers, and not among those listed.
-	return 2 * (this->readers.size() - 1) >= this->directory.Exchanging();
+	return 2 * (this->readers.size() - 1) >= this->directory.ExchangePeerCount();
 }
 
 std::vector<std::string> PeerExchange::KnownInstances() const
 {
 	// One that started among others knows few of them at first: it would take too large a share of what all divide.
-	static constexpr double MOST_OF_THEM = 0.9;
-	bool knows = this->watch.IsKnown() && static_cast<double>(this->directory.Size() + 1) >= MOST_OF_THEM * this->instances_told;
+	static constexpr double MIN_KNOWN_FRACTION = 0.9;
+	bool knows = this->watch.IsKnown() && static_cast<double>(this->directory.Size() + 1) >= MIN_KNOWN_FRACTION * this->max_known_instances;
 	std::vector<std::string> names = this->directory.Names();
 	names.push_back(this->name);
 	return knows ? names : std::vector<std::string>{};
@@ -328,8 +329,8 @@
 	std::vector<std::string> all = this->KnownInstances();
 	std::vector<std::string> there;
 	for (const std::string &instance : all) {
-		const PeerPlace *place = this->directory.Find(instance);
-		if ((instance == this->name ? this->hall : place->hall) == of) there.push_back(instance);
+		const PeerLocation *location = this->directory.Find(instance);
+		if ((instance == this->name ? this->hall : location->hall) == of) there.push_back(instance);
 	}
 	return there.empty() ? all : there;
 }
@@ -342,52 +343,53 @@
 
 void PeerExchange::Dial(TimePoint now)
 {
-	auto state_of = [this](const std::string &to) { return this->links.StateOf(to); };
-	bool links_halls = this->sharing.ReadsForHall() || this->tells_halls || this->asks_halls;
-	WantedLinks wanted = this->directory.Wanted(state_of, links_halls, now);
-	this->relays = {wanted.relays.begin(), wanted.relays.end()};
-	wanted.peers.insert(wanted.peers.end(), wanted.relays.begin(), wanted.relays.end());
+	auto link_state_of = [this](const std::string &to) { return this->links.LinkStateOf(to); };
+	bool links_halls = this->sharing.IsHallReader() || this->publishes_hall_load || this->requests_from_halls;
+	WantedLinks wanted = this->directory.Wanted(link_state_of, links_halls, now);
+	this->forwarders = {wanted.forwarders.begin(), wanted.forwarders.end()};
+	wanted.peers.insert(wanted.peers.end(), wanted.forwarders.begin(), wanted.forwarders.end());
 	this->links.SetWanted(wanted.peers);
 }
 
-LoadMessage PeerExchange::Whole() const
+LoadMessage PeerExchange::MakeLoadSnapshot() const
 {
 	LoadMessage message;
 	message.instance = this->name;
 	message.incarnation = this->incarnation;
-	message.whole = true;
+	message.full = true;
 	for (const auto &[call, news] : this->own) message.calls.push_back(news);
 	return message;
 }
 
-void PeerExchange::TellAt(const CallSpec &call, const std::string &pool, const std::string &target, uint32_t generated, bool at_once)
+void PeerExchange::PublishCall(const CallSpec &call, const std::string &pool, const std::string &target, uint32_t generated, bool at_once)
 {
-	if (!this->limits.tell_calls) return;
-	CallNews &news = this->own[call.id.value];
-	news = CallNews{CallNews::Kind::At, call.id.value, target, call.prompt_tokens, generated, call.max_tokens, pool, call.service_class};
+	if (!this->limits.publish_calls) return;
+	CallUpdate &news = this->own[call.id.value];
+	news = CallUpdate{CallUpdate::Kind::At, call.id.value, target, call.prompt_tokens, generated, call.max_tokens, pool,
+	                  call.service_class};
 	if (!at_once) return;
 	this->waiting.calls.push_back(news);
 	this->urgent = true;
-	if (this->MayTellAtOnce(MonotonicNow())) this->Flush();
+	if (this->MaySendNow(MonotonicNow())) this->Flush();
 }
 
-void PeerExchange::TellEnded(CallId call)
+void PeerExchange::PublishCallEnded(CallId call)
 {
 	if (this->own.erase(call.value) == 0) return;
-	CallNews news;
-	news.kind = CallNews::Kind::Ended;
+	CallUpdate news;
+	news.kind = CallUpdate::Kind::Ended;
 	news.call = call.value;
 	this->waiting.calls.push_back(std::move(news));
 }
 
-void PeerExchange::TellReport(const std::string &target, const LoadReport &report)
+void PeerExchange::PublishReport(const std::string &target, const LoadReport &report)
 {
 	this->waiting.reports.push_back({target, report});
 }
 
-bool PeerExchange::MayTellAtOnce(TimePoint now) const
+bool PeerExchange::MaySendNow(TimePoint now) const
 {
-	return now - this->flushed_at >= this->limits.urgent_each * static_cast<int>(this->links.OpenLinks());
+	return now - this->flushed_at >= this->limits.urgent_interval_per_link * static_cast<int>(this->links.OpenLinks());
 }
 
 void PeerExchange::Flush()
@@ -395,45 +397,45 @@
 	this->urgent = false;
 	if (this->waiting.calls.empty() && this->waiting.reports.empty()) return;
 	this->flushed_at = MonotonicNow();
-	this->links.Broadcast(this->waiting, this->relays);
+	this->links.Broadcast(this->waiting, this->forwarders);
 	this->waiting.calls.clear();
 	this->waiting.reports.clear();
 	this->waiting_since = TimePoint{};
 }
 
-Duration PeerExchange::HeartbeatPeriod() const
+Duration PeerExchange::HeartbeatInterval() const
 {
-	return std::max(this->limits.heartbeat, this->limits.heartbeat_each * static_cast<int>(this->readers.size()));
+	return std::max(this->limits.heartbeat, this->limits.heartbeat_per_peer * static_cast<int>(this->readers.size()));
 }
 
 void PeerExchange::OnTick(TimePoint now)
 {
 	this->sharing.OnTick(now);
-	this->AskTables(now);
-	this->AnswerAsks(now);
+	this->RequestTables(now);
+	this->AnswerTablesRequests(now);
 	this->load.OnTick(now);
-	bool may_register = !this->leaving && (this->watch.IsKnown() || this->limits.first_start);
+	bool may_register = !this->draining && (this->watch.IsKnown() || this->limits.bootstrap);
 	if (!this->registered && may_register && this->register_call == 0 && now >= this->register_at) this->Register(now);
 	if (this->register_call != 0 && now >= this->register_at) {
 		this->store.Cancel(this->register_call);
 		this->register_call = 0;
-		this->OnRegistered(StoreWrite::Unknown, now);
+		this->OnRegistered(StoreWriteResult::Unknown, now);
 	}
-	this->FlushSigns(now);
+	this->FlushSignals(now);
 	bool any = !this->waiting.calls.empty() || !this->waiting.reports.empty();
 	if (any && this->waiting_since == TimePoint{}) this->waiting_since = now;
-	bool due = (this->urgent && this->MayTellAtOnce(now)) || now - this->waiting_since >= this->limits.news_wait;
+	bool due = (this->urgent && this->MaySendNow(now)) || now - this->waiting_since >= this->limits.max_batch_delay;
 	if (any && due) this->Flush();
-	if (now - this->readers_at >= this->limits.readers_look) this->RefreshReaders(now);
-	if (now - this->sent_at >= this->HeartbeatPeriod()) this->Heartbeat(now);
-	if (this->tells_halls && this->make_hall_load && now >= this->tell_halls_at) this->TellHalls(now);
+	if (now - this->readers_at >= this->limits.readers_refresh_interval) this->RefreshReaders(now);
+	if (now - this->sent_at >= this->HeartbeatInterval()) this->Heartbeat(now);
+	if (this->publishes_hall_load && this->make_hall_load && now >= this->next_hall_load_at) this->PublishHallLoad(now);
 }
 
 void PeerExchange::Heartbeat(TimePoint now)
 {
 	this->sent_at = now;
-	this->load.SetSilence(FromSeconds(Seconds(this->HeartbeatPeriod()) * this->limits.silences));
-	this->links.Broadcast(this->Whole(), this->relays);
+	this->load.SetTimeout(FromSeconds(Seconds(this->HeartbeatInterval()) * this->limits.missed_heartbeats));
+	this->links.Broadcast(this->MakeLoadSnapshot(), this->forwarders);
 }
 
 void PeerExchange::RefreshReaders(TimePoint now)
@@ -442,8 +444,8 @@
 	this->readers = this->load.Live();
 	this->readers.push_back(this->name);
 	std::vector<std::string> halls = this->directory.IsHallOnly() ? this->directory.Halls() : std::vector<std::string>{};
-	this->sharing.SetReaders(this->Readers(), halls, now - this->started < this->limits.settle);
-	this->tells_halls = this->limits.tell_halls && ReaderOrder(HALL_LOAD_KEY, this->Readers()).front() == this->name;
+	this->sharing.SetReaders(this->Readers(), halls, now - this->started < this->limits.settle_time);
+	this->publishes_hall_load = this->limits.publish_hall_load && ReaderOrder(HALL_LOAD_KEY, this->Readers()).front() == this->name;
 	this->Dial(now);
 }
 
@@ -451,8 +453,8 @@
 {
 	std::vector<Reader> all;
 	for (const std::string &reader : this->readers) {
-		const PeerPlace *place = this->directory.Find(reader);
-		double link = place != nullptr ? place->link_mbps : reader == this->name ? this->limits.link_mbps : 0;
+		const PeerLocation *location = this->directory.Find(reader);
+		double link = location != nullptr ? location->link_mbps : reader == this->name ? this->limits.link_mbps : 0;
 		all.push_back({reader, link});
 	}
 	return all;
--- a/src/gateway/peer_tables.cpp
+++ b/src/gateway/peer_tables.cpp
@@ -8,15 +8,15 @@
 
 namespace cottonspool {
 
-void PeerExchange::TellTables(TablesMessage message, const std::set<std::string> &except)
+void PeerExchange::PublishTables(TablesMessage message, const std::set<std::string> &except)
 {
 	this->AddParts(message);
-	this->asks_at = TimePoint{};
+	this->next_answer_at = TimePoint{};
 	std::string bytes = EncodePeerMessage(message);
-	bool has_rows = std::any_of(message.tables.begin(), message.tables.end(), [](const TableNews &news) { return !news.rows.empty(); });
-	if (has_rows && !this->pass_on.Take(static_cast<double>(bytes.size() * this->links.OpenLinks()), MonotonicNow())) {
+	bool has_rows = std::any_of(message.tables.begin(), message.tables.end(), [](const TableUpdate &news) { return !news.rows.empty(); });
+	if (has_rows && !this->forward_budget.Take(static_cast<double>(bytes.size() * this->links.OpenLinks()), MonotonicNow())) {
 		// Too much to pass on: a sign of life that is ahead of the others makes each of them read the change itself.
-		for (TableNews &news : message.tables) news = {news.table, news.to, news.to, false, true, {}, news.read};
+		for (TableUpdate &news : message.tables) news = {news.table, news.to, news.to, false, true, {}, news.read};
 		bytes = EncodePeerMessage(message);
 	}
 	this->links.BroadcastBytes(bytes, except);
@@ -29,97 +29,98 @@
 	return all;
 }
 
-TableStart PeerExchange::StartOfTables(TimePoint now) const
+TableSource PeerExchange::ChooseTableSource(TimePoint now) const
 {
 	// One that exchanges nothing with others never learns of them.
-	if (this->started == TimePoint{}) return TableStart::Read;
+	if (this->started == TimePoint{}) return TableSource::Read;
 	Duration since = now - this->started;
-	if (!this->watch.IsKnown()) return since < this->limits.list_wait || this->limits.first_start ? TableStart::NotYet : TableStart::Read;
+	if (!this->watch.IsKnown())
+		return since < this->limits.list_timeout || this->limits.bootstrap ? TableSource::Undecided : TableSource::Read;
 	// Who starts with all others sees them come one by one: how many there will be shows when no more do.
-	bool complete = now - this->list_changed >= this->limits.list_quiet || since >= this->limits.list_most;
-	if (this->limits.first_start && !complete) return TableStart::NotYet;
+	bool complete = now - this->list_changed >= this->limits.list_settle_time || since >= this->limits.list_max_wait;
+	if (this->limits.bootstrap && !complete) return TableSource::Undecided;
 	// A list of few targets is read faster than handed over; of a divided fleet's list each would read many times what it needs.
-	return this->Cells() > 1 ? TableStart::Ask : TableStart::Read;
+	return this->Cells() > 1 ? TableSource::Ask : TableSource::Read;
 }
 
-Duration PeerExchange::WaitForTable() const
+Duration PeerExchange::TableTimeout() const
 {
 	// The first of all is the one that the other halls dial to be told of tables.
-	std::vector<std::string> order = ReaderOrder(RELAY_KEY, this->Listed());
-	auto place = std::find(order.begin(), order.end(), this->name) - order.begin();
-	return place == 0 ? Duration(0) : this->limits.table_wait + this->limits.table_wait_each * place;
+	std::vector<std::string> order = ReaderOrder(FORWARDER_KEY, this->Listed());
+	auto location = std::find(order.begin(), order.end(), this->name) - order.begin();
+	return location == 0 ? Duration(0) : this->limits.table_timeout + this->limits.table_timeout_per_instance * location;
 }
 
 std::vector<std::string> PeerExchange::HallOrder() const
 {
 	std::vector<Reader> of_hall{{this->name, this->limits.link_mbps}};
 	for (const Reader &reader : this->Listed()) {
-		const PeerPlace *place = this->directory.Find(reader.name);
-		if (place != nullptr && place->hall == this->hall) of_hall.push_back(reader);
+		const PeerLocation *location = this->directory.Find(reader.name);
+		if (location != nullptr && location->hall == this->hall) of_hall.push_back(reader);
 	}
-	return ReaderOrder(RELAY_KEY, of_hall);
+	return ReaderOrder(FORWARDER_KEY, of_hall);
 }
 
-std::vector<std::string> PeerExchange::Askable(const std::vector<std::string> &order) const
+std::vector<std::string> PeerExchange::RequestCandidates(const std::vector<std::string> &order) const
 {
-	std::vector<std::string> askable;
+	std::vector<std::string> candidates;
 	auto add = [&](const std::string &address) {
-		if (this->links.StateOf(address) == LinkState::Open) askable.push_back(address);
+		if (this->links.LinkStateOf(address) == LinkState::Open) candidates.push_back(address);
 	};
 	// The first of a hall has it from another hall, and the others of the hall from it.
-	if (order.front() == this->name) std::for_each(this->relays.begin(), this->relays.end(), add);
+	if (order.front() == this->name) std::for_each(this->forwarders.begin(), this->forwarders.end(), add);
 	for (const std::string &peer : order) {
 		if (peer != this->name) add(this->directory.Find(peer)->address);
 	}
-	return askable;
+	return candidates;
 }
 
-void PeerExchange::AskTables(TimePoint now)
+void PeerExchange::RequestTables(TimePoint now)
 {
-	std::vector<std::string> wanted = this->sharing.Wanted();
+	std::vector<std::string> wanted = this->sharing.MissingSnapshots();
 	std::erase(wanted, this->watch.Table());
-	this->asks_halls = false;
+	this->requests_from_halls = false;
 	if (wanted.empty()) return;
 	std::vector<std::string> order = this->HallOrder();
-	this->asks_halls = order.front() == this->name;
-	if (this->asks_halls) this->Dial(now);
-	std::vector<std::string> askable = this->Askable(order);
-	if (askable.empty()) return;
+	this->requests_from_halls = order.front() == this->name;
+	if (this->requests_from_halls) this->Dial(now);
+	std::vector<std::string> candidates = this->RequestCandidates(order);
+	if (candidates.empty()) return;
 	// The first in the order is asked as soon as it is linked; the others in turn, as long as nobody has answered.
-	bool again = now >= this->ask_at;
-	bool first = askable.front() != this->asked_first;
+	bool again = now >= this->next_tables_request_at;
+	bool first = candidates.front() != this->first_requested;
 	if (!first && !again) return;
-	if (first) this->asked_first = askable.front();
-	const std::string &to = first ? askable.front() : askable[++this->asked % askable.size()];
-	this->ask_at = now + this->limits.ask_pause;
-	this->links.SendTo(to, TablesAskMessage{this->name, wanted});
+	if (first) this->first_requested = candidates.front();
+	const std::string &to = first ? candidates.front() : candidates[++this->tables_requests_sent % candidates.size()];
+	this->next_tables_request_at = now + this->limits.table_request_interval;
+	this->links.SendTo(to, TablesRequestMessage{this->name, wanted});
 	Log(LogLevel::Info, "tables-asked", {{"tables", std::to_string(wanted.size())}, {"peer", to}});
 }
 
-void PeerExchange::OnTablesAsk(const TablesAskMessage &ask, const PeerLinks::Reply &reply, TimePoint now)
+void PeerExchange::OnTablesRequest(const TablesRequestMessage &ask, const PeerLinks::Reply &reply, TimePoint now)
 {
-	std::erase_if(this->asks, [&](const TablesAsk &each) { return each.ask.instance == ask.instance; });
-	this->asks.push_back({ask, reply, now + this->limits.ask_kept});
-	this->asks_at = now;
+	std::erase_if(this->tables_requests, [&](const PendingTablesRequest &each) { return each.ask.instance == ask.instance; });
+	this->tables_requests.push_back({ask, reply, now + this->limits.table_request_ttl});
+	this->next_answer_at = now;
 }
 
-void PeerExchange::AnswerAsks(TimePoint now)
+void PeerExchange::AnswerTablesRequests(TimePoint now)
 {
 	static constexpr Duration PAUSE = std::chrono::milliseconds(100); // Many ask while nothing has changed here.
-	std::erase_if(this->asks, [&](const TablesAsk &each) { return now >= each.until; });
-	if (this->asks.empty() || now < this->asks_at) return;
-	this->asks_at = now + PAUSE;
-	for (TablesAsk &each : this->asks) this->AnswerAsk(each, now);
-	std::erase_if(this->asks, [](const TablesAsk &each) { return each.ask.tables.empty(); });
+	std::erase_if(this->tables_requests, [&](const PendingTablesRequest &each) { return now >= each.until; });
+	if (this->tables_requests.empty() || now < this->next_answer_at) return;
+	this->next_answer_at = now + PAUSE;
+	for (PendingTablesRequest &each : this->tables_requests) this->AnswerTablesRequest(each, now);
+	std::erase_if(this->tables_requests, [](const PendingTablesRequest &each) { return each.ask.tables.empty(); });
 }
 
-void PeerExchange::AnswerAsk(TablesAsk &ask, TimePoint now)
+void PeerExchange::AnswerTablesRequest(PendingTablesRequest &ask, TimePoint now)
 {
 	// What is known is told at once: who reads one table may wait for another one itself.
 	for (auto table = ask.ask.tables.begin(); table != ask.ask.tables.end();) {
-		const std::string *answer = this->WholeTable(*table);
+		const std::string *answer = this->TableSnapshot(*table);
 		// Beyond what the link bears the asker turns to another one, which has them by then.
-		if (answer == nullptr || !this->hand_over.Take(static_cast<double>(answer->size()), now)) {
+		if (answer == nullptr || !this->snapshot_budget.Take(static_cast<double>(answer->size()), now)) {
 			++table;
 			continue;
 		}
@@ -129,45 +130,45 @@
 	}
 }
 
-const std::string *PeerExchange::WholeTable(const std::string &table)
+const std::string *PeerExchange::TableSnapshot(const std::string &table)
 {
-	std::optional<StoreVersion> version = this->sharing.WholeVersion(table);
+	std::optional<StoreVersion> version = this->sharing.SnapshotVersion(table);
 	if (!version) return nullptr;
-	auto [found, added] = this->whole_tables.try_emplace(table);
+	auto [found, added] = this->encoded_snapshots.try_emplace(table);
 	if (added || found->second.version != *version) {
-		TablesMessage message{this->name, this->hall, true, this->sharing.Whole({table}), {}};
+		TablesMessage message{this->name, this->hall, true, this->sharing.Snapshot({table}), {}};
 		this->AddParts(message);
 		found->second = {*version, EncodePeerMessage(message)};
 	}
 	return &found->second.bytes;
 }
 
-bool PeerExchange::TellsTargets(const TablesMessage &message) const
+bool PeerExchange::HasAllTargets(const TablesMessage &message) const
 {
-	auto tells = [this](const TableNews &news) { return news.whole && news.table == this->divided_table; };
+	auto tells = [this](const TableUpdate &news) { return news.full && news.table == this->divided_table; };
 	return this->division != nullptr && std::any_of(message.tables.begin(), message.tables.end(), tells);
 }
 
 void PeerExchange::AddParts(TablesMessage &message) const
 {
-	if (this->TellsTargets(message)) message.parts = this->division->Parts();
+	if (this->HasAllTargets(message)) message.shards = this->division->Shards();
 }
 
-void PeerExchange::NoteParts(const TablesMessage &message)
+void PeerExchange::AdoptParts(const TablesMessage &message)
 {
-	if (!this->TellsTargets(message) || !this->division->Set(message.parts)) return;
-	Log(LogLevel::Info, "targets-divided", {{"source", message.instance}, {"pools", std::to_string(message.parts.size())}});
+	if (!this->HasAllTargets(message) || !this->division->Set(message.shards)) return;
+	Log(LogLevel::Info, "targets-divided", {{"source", message.instance}, {"pools", std::to_string(message.shards.size())}});
 }
 
 void PeerExchange::OnTables(const TablesMessage &message, TimePoint now)
 {
-	this->NoteParts(message);
-	for (const TableNews &news : message.tables) this->sharing.OnNews(message.instance, message.hall, news, now);
-	this->asks_at = now;
-	if (!this->sharing.PassesOn(message.hall, message.relayed)) return;
-	TablesMessage relayed = message;
-	relayed.relayed = true;
-	this->TellTables(std::move(relayed), this->relays);
+	this->AdoptParts(message);
+	for (const TableUpdate &news : message.tables) this->sharing.OnUpdate(message.instance, message.hall, news, now);
+	this->next_answer_at = now;
+	if (!this->sharing.ShouldForward(message.hall, message.forwarded)) return;
+	TablesMessage forwarded = message;
+	forwarded.forwarded = true;
+	this->PublishTables(std::move(forwarded), this->forwarders);
 }
 
 } // namespace cottonspool
--- a/src/gateway/relay_call.cpp
+++ b/src/gateway/relay_call.cpp
@@ -9,9 +9,9 @@
 
 namespace cottonspool {
 
-static constexpr int RANKS = 3;                                              ///< Ranks of routes told apart behind one rank of an account.
-static constexpr int LEAST_URGENT = 9;                                       ///< Largest number that stands for an urgency at engines.
-static constexpr Duration LEAST_RETRY_AFTER = std::chrono::milliseconds(50); ///< Least time told to come back after.
+static constexpr int ROUTE_PRIORITIES = 3;                                 ///< Ranks of routes told apart behind one rank of an account.
+static constexpr int LOWEST_URGENCY = 9;                                   ///< Largest number that stands for an urgency at engines.
+static constexpr Duration MIN_RETRY_AFTER = std::chrono::milliseconds(50); ///< Least time told to come back after.
 
 RelayCall::RelayCall(Gateway &gateway, std::shared_ptr<FrontExchange> exchange, RelayRequest request)
     : gateway(gateway), exchange(std::move(exchange)), request(std::move(request))
@@ -21,23 +21,23 @@
 void RelayCall::Begin(TimePoint now)
 {
 	std::weak_ptr<RelayCall> weak = this->weak_from_this();
-	this->exchange->on_gone = [weak] {
-		if (auto self = weak.lock()) self->OnCallerGone();
+	this->exchange->on_disconnect = [weak] {
+		if (auto self = weak.lock()) self->OnCallerDisconnected();
 	};
-	this->gateway.Carry(this->gateway.dispatcher.Submit(this->request.spec, now));
+	this->gateway.Execute(this->gateway.dispatcher.Submit(this->request.spec, now));
 }
 
 void RelayCall::OnSend(const SendAction &action)
 {
-	if (this->over) return;
+	if (this->concluded) return;
 	TimePoint now = MonotonicNow();
 	this->target = action.target;
 	this->attempts++;
 	this->sent_at = now;
 	this->backup = this->ChooseBackupFor(action.target, now);
 	this->LogSend(now);
-	this->gateway.OnCallAt(this->request, action.target, true);
-	this->link = this->StartUpstream(action.target, std::nullopt, this->backup);
+	this->gateway.OnCallProgress(this->request, action.target, true);
+	this->upstream_call = this->StartUpstream(action.target, std::nullopt, this->backup);
 }
 
 void RelayCall::LogSend(TimePoint now)
@@ -61,7 +61,7 @@
 	if (!this->request.can_back_up) return std::nullopt;
 	TargetTable &targets = this->gateway.dispatcher.Targets();
 	std::optional<TargetNumber> at = ChooseBackup(this->request.spec, holder, targets, this->gateway.limits.backup, now);
-	if (at) targets.OnBackup(*at, this->request.spec.prompt_tokens + targets.ExpectedRest(this->request.spec));
+	if (at) targets.OnBackup(*at, this->request.spec.prompt_tokens + targets.ExpectedOutput(this->request.spec));
 	return at;
 }
 
@@ -70,8 +70,8 @@
 	TimePoint now = MonotonicNow();
 	const TargetState &state = this->gateway.dispatcher.Targets().Get(number);
 	SendInfo info;
-	info.remaining = this->request.ends_at - now;
-	info.target = this->gateway.LifeOf(number).id;
+	info.remaining = this->request.response_deadline - now;
+	info.target = this->gateway.IncarnationOf(number).id;
 	info.account = this->request.account;
 	if (state.engine) info.urgency = this->Urgency();
 	info.resume = std::move(resume);
@@ -83,8 +83,8 @@
 	call.target = this->exchange->head.target;
 	call.headers = HeadersForTarget(this->exchange->head.headers, info);
 	call.body = this->exchange->body;
-	call.connect_limit = this->gateway.limits.connect;
-	if (this->request.route.kind != RunKind::Repeatable) call.reuse_rest = this->gateway.limits.reuse_once;
+	call.connect_timeout = this->gateway.limits.connect;
+	if (this->request.route.kind != RouteType::Repeatable) call.max_reuse_idle = this->gateway.limits.single_run_max_idle;
 	std::weak_ptr<RelayCall> weak = this->weak_from_this();
 	auto call_number = std::make_shared<uint64_t>(0);
 	call.on_head = [weak, number = call_number](const HttpHead &head) {
@@ -103,16 +103,17 @@
 
 bool RelayCall::IsQuarantined() const
 {
-	return this->gateway.dispatcher.Suspicions().Judge(this->request.spec.print, MonotonicNow()) == Suspicion::Quarantined;
+	return this->gateway.dispatcher.QuarantineState().Judge(this->request.spec.fingerprint, MonotonicNow()) == Suspicion::Quarantined;
 }
 
 int RelayCall::Urgency() const
 {
 	// The account's rank goes first; among requests of equal rank the route's own decides.
-	return std::clamp(RANKS * this->request.rank + std::min(this->request.route.rank, RANKS - 1), 0, LEAST_URGENT);
+	return std::clamp(ROUTE_PRIORITIES * this->request.priority_level + std::min(this->request.route.priority_level, ROUTE_PRIORITIES - 1),
+	                  0, LOWEST_URGENCY);
 }
 
-bool RelayCall::IsMine(const HttpHead &head) const
+bool RelayCall::AnswersThisRequest(const HttpHead &head) const
 {
 	AnswerInfo info = ReadAnswer(head);
 	if (info.attempt.empty()) return head.status / 100 != 2;
@@ -121,73 +122,73 @@
 
 Duration RelayCall::RetryAfter(Duration wanted) const
 {
-	Duration left = this->request.ends_at - MonotonicNow();
-	return std::max(LEAST_RETRY_AFTER, std::min(wanted, left / 3));
+	Duration left = this->request.response_deadline - MonotonicNow();
+	return std::max(MIN_RETRY_AFTER, std::min(wanted, left / 3));
 }
 
-void RelayCall::OnGiveUp(const GiveUpAction &action)
+void RelayCall::OnReject(const RejectAction &action)
 {
 	this->target.reset();
-	if (this->over || this->DeliverInstead()) return;
-	const char *reason = GiveUpReasonName(action.reason);
-	if (action.reason == GiveUpReason::AllBound) {
+	if (this->concluded || this->DeliverKeptAnswer()) return;
+	const char *reason = RejectReasonName(action.reason);
+	if (action.reason == RejectReason::AllRestricted) {
 		Log(LogLevel::Info, "all-bound",
 		    {{"request", this->request.info.attempt},
 		     {"pool", this->request.pool},
-		     {"bounds", FormatBounds(action.bounds)},
+		     {"bounds", FormatRestrictions(action.restrictions)},
 		     {"retry_after_ms", FormatMilliseconds(action.retry_after)}});
 	}
-	if (this->doubtful) return this->Fail(502, reason);
+	if (this->outcome_unknown) return this->Fail(502, reason);
 	this->Fail(503, reason, this->RetryAfter(action.retry_after));
 }
 
 void RelayCall::OnTick(TimePoint now)
 {
-	if (this->over || now + this->gateway.limits.answer_slack < this->request.ends_at) return;
+	if (this->concluded || now + this->gateway.limits.answer_margin < this->request.response_deadline) return;
 	// The last moment for an answer: what was sent may have run, what was not has not.
 	bool sent = this->target.has_value();
-	if (this->link != 0) this->gateway.upstream.Cancel(this->link);
-	this->link = 0;
-	if (!sent) this->gateway.dispatcher.Withdraw(this->request.spec.id);
-	if (sent) this->EndSend(SendEnd::LostAfterUse);
-	if (this->over) return;
-	bool may_have_run = sent || this->doubtful;
-	this->Fail(may_have_run ? 504 : 503, "time-limit", may_have_run ? std::nullopt : std::optional(this->RetryAfter(LEAST_RETRY_AFTER)));
+	if (this->upstream_call != 0) this->gateway.upstream.Cancel(this->upstream_call);
+	this->upstream_call = 0;
+	if (!sent) this->gateway.dispatcher.CancelWaiting(this->request.spec.id);
+	if (sent) this->FinishSend(SendOutcome::LostAfterDelivery);
+	if (this->concluded) return;
+	bool may_have_run = sent || this->outcome_unknown;
+	this->Fail(may_have_run ? 504 : 503, "time-limit", may_have_run ? std::nullopt : std::optional(this->RetryAfter(MIN_RETRY_AFTER)));
 }
 
-void RelayCall::OnTargetEnded()
+void RelayCall::OnTargetCrashed()
 {
-	if (this->over || !this->target || this->link == 0) return;
+	if (this->concluded || !this->target || this->upstream_call == 0) return;
 	auto keep = this->shared_from_this();
-	uint64_t ended = this->link;
+	uint64_t ended = this->upstream_call;
 	this->gateway.upstream.Cancel(ended);
 	this->OnEnd(ended, UpstreamEnd::Broken, "its target has ended");
 }
 
 void RelayCall::OnQuarantined()
 {
-	if (this->over || !this->target || !this->HasSend() || this->Stage() == RunStage::RunsWell) return;
+	if (this->concluded || !this->target || !this->HasSend() || this->Stage() == RunStage::Stable) return;
 	auto keep = this->shared_from_this();
-	if (this->link != 0) this->gateway.upstream.Cancel(this->link);
-	this->link = 0;
-	this->OnGone();
-	this->doubtful = true;
-	this->EndSend(SendEnd::CallerGone);
-	this->Fail(502, GiveUpReasonName(GiveUpReason::Quarantined));
+	if (this->upstream_call != 0) this->gateway.upstream.Cancel(this->upstream_call);
+	this->upstream_call = 0;
+	this->CancelAuxiliaryCalls();
+	this->outcome_unknown = true;
+	this->FinishSend(SendOutcome::CallerDisconnected);
+	this->Fail(502, RejectReasonName(RejectReason::Quarantined));
 }
 
-void RelayCall::Cut()
+void RelayCall::AbortOnStop()
 {
-	if (this->over) return;
-	if (this->link != 0) this->gateway.upstream.Cancel(this->link);
-	this->link = 0;
-	bool sent = this->target.has_value() || this->doubtful;
-	this->Fail(sent ? 502 : 503, "instance-stops", sent ? std::nullopt : std::optional(LEAST_RETRY_AFTER));
+	if (this->concluded) return;
+	if (this->upstream_call != 0) this->gateway.upstream.Cancel(this->upstream_call);
+	this->upstream_call = 0;
+	bool sent = this->target.has_value() || this->outcome_unknown;
+	this->Fail(sent ? 502 : 503, "instance-stops", sent ? std::nullopt : std::optional(MIN_RETRY_AFTER));
 }
 
 void RelayCall::Fail(int status, const char *reason, std::optional<Duration> retry_after)
 {
-	if (this->over) return;
+	if (this->concluded) return;
 	if (this->exchange->IsStarted()) {
 		this->exchange->Abort();
 		return this->Conclude(reason, 0);
@@ -198,9 +199,9 @@
 
 void RelayCall::Conclude(const char *outcome, int status)
 {
-	if (this->over) return;
-	this->over = true;
-	this->exchange->on_gone = nullptr;
+	if (this->concluded) return;
+	this->concluded = true;
+	this->exchange->on_disconnect = nullptr;
 	this->exchange->on_drained = nullptr;
 	Duration took = MonotonicNow() - this->request.spec.arrived;
 	Log(LogLevel::Info, "finished",
@@ -208,117 +209,118 @@
 	     {"route", this->request.route.name},
 	     {"outcome", outcome},
 	     {"status", std::to_string(status)},
-	     {"ran", this->target || this->doubtful ? "maybe" : "no"},
+	     {"ran", this->target || this->outcome_unknown ? "maybe" : "no"},
 	     {"attempts", std::to_string(this->attempts)},
 	     {"ms", FormatMilliseconds(took)}});
 	this->gateway.metrics.Count(std::string("cottonspool_requests_total{outcome=\"") + outcome + "\"}");
-	this->gateway.OnCallOver(this->request.spec.id);
+	this->gateway.OnCallFinished(this->request.spec.id);
 }
 
-void RelayCall::EndSend(SendEnd end)
+void RelayCall::FinishSend(SendOutcome end)
 {
 	if (!this->target) return;
-	if (end == SendEnd::Lost || end == SendEnd::Failed) this->doubtful = true;
-	bool not_run = end == SendEnd::NotRun || end == SendEnd::TurnedAway || end == SendEnd::NotSent;
-	bool ends_here = !not_run && end != SendEnd::Lost && end != SendEnd::Failed;
+	if (end == SendOutcome::Lost || end == SendOutcome::Failed) this->outcome_unknown = true;
+	bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected || end == SendOutcome::NotSent;
+	bool ends_here = !not_executed && end != SendOutcome::Lost && end != SendOutcome::Failed;
 	if (!ends_here) this->target.reset();
-	if (!ends_here) this->gateway.OnCallAway(this->request.spec.id);
-	this->gateway.Carry(this->gateway.dispatcher.OnSendEnded(this->request.spec.id, end, MonotonicNow()));
+	if (!ends_here) this->gateway.OnCallUnassigned(this->request.spec.id);
+	this->gateway.Execute(this->gateway.dispatcher.OnSendEnded(this->request.spec.id, end, MonotonicNow()));
 }
 
-void RelayCall::OnCallerGone()
+void RelayCall::OnCallerDisconnected()
 {
-	if (this->over) return;
+	if (this->concluded) return;
 	auto keep = this->shared_from_this();
-	if (this->target && this->link != 0) this->gateway.OnSendWithdrawn(this->request, *this->target, this->Stage(), MonotonicNow());
-	if (this->link != 0) this->gateway.upstream.Cancel(this->link);
-	this->link = 0;
-	this->OnGone();
+	if (this->target && this->upstream_call != 0)
+		this->gateway.OnSendCancelled(this->request, *this->target, this->Stage(), MonotonicNow());
+	if (this->upstream_call != 0) this->gateway.upstream.Cancel(this->upstream_call);
+	this->upstream_call = 0;
+	this->CancelAuxiliaryCalls();
 	if (this->target) {
-		this->EndSend(SendEnd::CallerGone);
+		this->FinishSend(SendOutcome::CallerDisconnected);
 	} else {
-		this->gateway.dispatcher.Withdraw(this->request.spec.id);
+		this->gateway.dispatcher.CancelWaiting(this->request.spec.id);
 	}
 	this->Conclude("caller-gone", 0);
 }
 
-bool PlainRelay::OnHead(uint64_t, const HttpHead &head)
+bool BufferedRelay::OnHead(uint64_t, const HttpHead &head)
 {
-	if (!this->IsMine(head)) return false;
+	if (!this->AnswersThisRequest(head)) return false;
 	this->answer = Answer{head, ReadAnswer(head), {}};
-	this->gateway.OnAnswerBegun(this->request, *this->target, this->answer.info, this->sent_at);
+	this->gateway.OnAnswerHead(this->request, *this->target, this->answer.info, this->sent_at);
 	return true;
 }
 
-void PlainRelay::OnBody(uint64_t, std::string_view bytes)
+void BufferedRelay::OnBody(uint64_t, std::string_view bytes)
 {
-	if (this->over) return;
-	if (this->passing) return this->exchange->Write(bytes);
+	if (this->concluded) return;
+	if (this->forwarding) return this->exchange->Write(bytes);
 	this->answer.body.append(bytes);
 	bool success = this->answer.head.status / 100 == 2 && this->answer.info.stamped;
-	if (this->answer.body.size() <= this->gateway.limits.max_answer_bytes || !success) return;
-	this->passing = true;
+	if (this->answer.body.size() <= this->gateway.limits.max_buffered_answer_bytes || !success) return;
+	this->forwarding = true;
 	this->exchange->Start(this->answer.head.status, HeadersForCaller(this->answer.head.headers), this->answer.head.length,
 	                      this->answer.head.reason);
 	this->exchange->Write(this->answer.body);
 	this->answer.body.clear();
 }
 
-void PlainRelay::OnEnd(uint64_t, UpstreamEnd end, const char *cause)
+void BufferedRelay::OnEnd(uint64_t, UpstreamEnd end, const char *cause)
 {
 	auto keep = this->shared_from_this();
-	this->link = 0;
-	if (this->over) return;
-	if (end == UpstreamEnd::Complete) return this->OnWhole();
+	this->upstream_call = 0;
+	if (this->concluded) return;
+	if (end == UpstreamEnd::Complete) return this->OnCompleteAnswer();
 	Log(LogLevel::Info, "send-ended",
 	    {{"request", this->request.info.attempt},
 	     {"target", this->gateway.dispatcher.Targets().Get(*this->target).name},
-	     {"sent", IsUnsent(end) ? "no" : "maybe"},
+	     {"sent", IsCertainlyUnsent(end) ? "no" : "maybe"},
 	     {"cause", cause}});
-	if (IsUnsent(end)) return this->EndSend(SendEnd::NotSent);
-	this->gateway.OnSendBroken(this->request, *this->target, this->Stage(), MonotonicNow());
-	this->EndSend(SendEnd::Lost);
-	if (this->request.spec.repeatable && !this->passing) return;
+	if (IsCertainlyUnsent(end)) return this->FinishSend(SendOutcome::NotSent);
+	this->gateway.OnSendInterrupted(this->request, *this->target, this->Stage(), MonotonicNow());
+	this->FinishSend(SendOutcome::Lost);
+	if (this->request.spec.repeatable && !this->forwarding) return;
 	this->Fail(502, "answer-lost");
 }
 
-void PlainRelay::OnWhole()
+void BufferedRelay::OnCompleteAnswer()
 {
 	const AnswerInfo &info = this->answer.info;
 	int status = this->answer.head.status;
-	if (this->passing) {
+	if (this->forwarding) {
 		this->exchange->Finish();
-		this->EndSend(SendEnd::Complete);
+		this->FinishSend(SendOutcome::Complete);
 		return this->Conclude("answered", status);
 	}
-	if (info.not_run) return this->EndSend(NotRunEnd(info));
+	if (info.not_executed) return this->FinishSend(NotExecutedOutcome(info));
 	bool unusable = status / 100 == 2 && !info.stamped;
 	// Only the target's own word says that it has not run the request: its status alone must not promise that to the caller.
 	bool promises = status == 503 || status == 429 || status == 408 || status == 421;
 	if (!unusable && !promises && status < 500) return this->Deliver(this->answer);
-	if (!unusable && !promises) this->kept = this->answer;
-	this->EndSend(SendEnd::Failed);
-	if (this->over || this->request.spec.repeatable) return;
-	if (!this->DeliverInstead()) this->Fail(502, "answer-unusable");
+	if (!unusable && !promises) this->kept_answer = this->answer;
+	this->FinishSend(SendOutcome::Failed);
+	if (this->concluded || this->request.spec.repeatable) return;
+	if (!this->DeliverKeptAnswer()) this->Fail(502, "answer-unusable");
 }
 
-bool PlainRelay::DeliverInstead()
+bool BufferedRelay::DeliverKeptAnswer()
 {
-	if (!this->kept || this->over) return false;
-	Answer last = std::move(*this->kept);
-	this->kept.reset();
+	if (!this->kept_answer || this->concluded) return false;
+	Answer last = std::move(*this->kept_answer);
+	this->kept_answer.reset();
 	this->exchange->Respond(last.head.status, HeadersForCaller(last.head.headers), last.body, last.head.reason);
 	this->Conclude("answered", last.head.status);
 	return true;
 }
 
-void PlainRelay::Deliver(const Answer &whole)
+void BufferedRelay::Deliver(const Answer &whole)
 {
 	this->exchange->Respond(whole.head.status, HeadersForCaller(whole.head.headers), whole.body, whole.head.reason);
 	this->gateway.metrics.Observe(Measure::ServiceSeconds, this->request.account, this->request.spec.service_class,
 	                              Seconds(MonotonicNow() - this->request.spec.arrived));
-	this->EndSend(SendEnd::Complete);
-	if (whole.head.status / 100 == 2) this->gateway.OnAnsweredWell(this->request);
+	this->FinishSend(SendOutcome::Complete);
+	if (whole.head.status / 100 == 2) this->gateway.OnAnsweredSuccessfully(this->request);
 	this->Conclude("answered", whole.head.status);
 }
 
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -14,9 +14,9 @@
 class Gateway;
 
 /** @return How a send ended that the target says it has not run, with \a info. */
-inline SendEnd NotRunEnd(const AnswerInfo &info)
+inline SendOutcome NotExecutedOutcome(const AnswerInfo &info)
 {
-	return info.signs.pause > Duration(0) ? SendEnd::TurnedAway : SendEnd::NotRun;
+	return info.signals.pause > Duration(0) ? SendOutcome::Rejected : SendOutcome::NotExecuted;
 }
 
 /** One caller's request from its arrival to its final answer. */
@@ -32,25 +32,25 @@
 	void OnSend(const SendAction &action);
 
 	/** The dispatcher says: give it up. */
-	void OnGiveUp(const GiveUpAction &action);
+	void OnReject(const RejectAction &action);
 
 	/** Some time has passed. */
 	virtual void OnTick(TimePoint now);
 
 	/** The target that holds it gets nothing new any more. */
-	virtual void OnTargetLeaving(TimePoint) {}
+	virtual void OnTargetDraining(TimePoint) {}
 
 	/** The target that holds it has ended, whatever its connection looks like: the run has failed, and may have run. */
-	void OnTargetEnded();
+	void OnTargetCrashed();
 
 	/** Its request is quarantined: unless the target runs it well already, it is taken back from there. */
 	void OnQuarantined();
 
 	/** The process ends: break off what cannot be finished. */
-	void Cut();
+	void AbortOnStop();
 
 	/** @return Whether the final answer has been given, or the caller is gone. */
-	bool IsOver() const { return this->over; }
+	bool IsConcluded() const { return this->concluded; }
 
 	/** @return What the dispatcher knows of it. */
 	const CallSpec &Spec() const { return this->request.spec; }
@@ -69,16 +69,16 @@
 	virtual void OnEnd(uint64_t from, UpstreamEnd end, const char *cause) = 0;
 
 	/** @return Whether a send is under way. */
-	virtual bool HasSend() const { return this->link != 0; }
+	virtual bool HasSend() const { return this->upstream_call != 0; }
 
 	/** @return How far the target has come with it. */
 	virtual RunStage Stage() const { return RunStage::Waiting; }
 
 	/** It was given up while an answer of a target is at hand: @return Whether that was delivered instead. */
-	virtual bool DeliverInstead() { return false; }
+	virtual bool DeliverKeptAnswer() { return false; }
 
 	/** The caller left: let go of everything beside the call to the target. */
-	virtual void OnGone() {}
+	virtual void CancelAuxiliaryCalls() {}
 
 	/** Start the call to \a target. @param resume Where the run goes on from, if it was moved. */
 	uint64_t StartUpstream(TargetNumber target, std::optional<ResumePoint> resume, std::optional<TargetNumber> backup_at);
@@ -93,10 +93,10 @@
 	void Conclude(const char *outcome, int status);
 
 	/** Tell the dispatcher how the send ended, and carry out what it decides. */
-	void EndSend(SendEnd end);
+	void FinishSend(SendOutcome end);
 
 	/** @return Whether \a head answers this request; an answer without an id is taken only when it tells a failure. */
-	bool IsMine(const HttpHead &head) const;
+	bool AnswersThisRequest(const HttpHead &head) const;
 
 	/** @return Whether its request is not sent any more. */
 	bool IsQuarantined() const;
@@ -112,19 +112,19 @@
 	RelayRequest request;                    ///< What it asks for.
 	std::optional<TargetNumber> target;      ///< Target that has it; nothing while it waits.
 	std::optional<TargetNumber> backup;      ///< Engine that keeps a copy of the run; nothing for none.
-	uint64_t link = 0;                       ///< Call to the target; 0 for none.
+	uint64_t upstream_call = 0;              ///< Call to the target; 0 for none.
 	uint32_t attempts = 0;                   ///< Sends so far.
 	TimePoint sent_at;                       ///< When it was last sent.
-	bool doubtful = false;                   ///< Some send ended in doubt: it may have run.
-	bool over = false;                       ///< Final answer given, or caller gone.
+	bool outcome_unknown = false;            ///< Some send ended in doubt: it may have run.
+	bool concluded = false;                  ///< Final answer given, or caller gone.
 
 private:
-	void OnCallerGone();
+	void OnCallerDisconnected();
 	void LogSend(TimePoint now);
 };
 
 /** A request whose answer is held until it is whole. */
-class PlainRelay : public RelayCall {
+class BufferedRelay : public RelayCall {
 public:
 	using RelayCall::RelayCall;
 
@@ -132,7 +132,7 @@
 	bool OnHead(uint64_t from, const HttpHead &head) override;
 	void OnBody(uint64_t from, std::string_view bytes) override;
 	void OnEnd(uint64_t from, UpstreamEnd end, const char *cause) override;
-	bool DeliverInstead() override;
+	bool DeliverKeptAnswer() override;
 
 private:
 	/** A whole answer of a target. */
@@ -142,12 +142,12 @@
 		std::string body; ///< Body.
 	};
 
-	void OnWhole();
+	void OnCompleteAnswer();
 	void Deliver(const Answer &answer);
 
-	Answer answer;              ///< Answer being received.
-	std::optional<Answer> kept; ///< Whole answer that tells a fault, kept while another target is tried.
-	bool passing = false;       ///< The answer is too large to be held: it is passed on as it comes.
+	Answer answer;                     ///< Answer being received.
+	std::optional<Answer> kept_answer; ///< Whole answer that tells a fault, kept while another target is tried.
+	bool forwarding = false;           ///< The answer is too large to be held: it is passed on as it comes.
 };
 
 } // namespace cottonspool
--- a/src/gateway/run_stage_type.h
+++ b/src/gateway/run_stage_type.h
@@ -10,9 +10,9 @@
 
 /** How far a target has come with a send. */
 enum class RunStage : uint8_t {
-	Waiting,  ///< Not known to have begun it.
-	Begun,    ///< It has begun it, shortly before.
-	RunsWell, ///< It has run it for longer than it takes to end under it.
+	Waiting, ///< Not known to have begun it.
+	Started, ///< It has begun it, shortly before.
+	Stable,  ///< It has run it for longer than it takes to end under it.
 };
 
 } // namespace cottonspool
--- a/src/gateway/stream_relay.cpp
+++ b/src/gateway/stream_relay.cpp
@@ -10,15 +10,15 @@
 
 bool StreamRelay::OnHead(uint64_t from, const HttpHead &head)
 {
-	if (this->over) return true;
-	if (from == this->move.resume_link) return this->OnResumeHead(head);
-	if (from != this->link) return true;
-	if (!this->IsMine(head)) return false;
+	if (this->concluded) return true;
+	if (from == this->move.resume_call) return this->OnResumeHead(head);
+	if (from != this->upstream_call) return true;
+	if (!this->AnswersThisRequest(head)) return false;
 	AnswerInfo info = ReadAnswer(head);
-	this->gateway.OnAnswerBegun(this->request, *this->target, info, this->sent_at);
+	this->gateway.OnAnswerHead(this->request, *this->target, info, this->sent_at);
 	this->streaming = head.status == 200 && info.stamped;
 	this->answer_head = head;
-	if (this->streaming) this->streaming_at = MonotonicNow();
+	if (this->streaming) this->streaming_since = MonotonicNow();
 	if (this->streaming) this->StartAnswer(head);
 	return true;
 }
@@ -30,30 +30,30 @@
 	std::weak_ptr<RelayCall> weak = this->weak_from_this();
 	this->exchange->on_drained = [weak] {
 		auto self = std::static_pointer_cast<StreamRelay>(weak.lock());
-		if (self) self->SetFlow();
+		if (self) self->UpdateFlowControl();
 	};
 }
 
 void StreamRelay::OnBody(uint64_t from, std::string_view bytes)
 {
-	if (this->over || from != this->link) return;
+	if (this->concluded || from != this->upstream_call) return;
 	if (!this->streaming) {
-		this->answer_body.append(bytes.substr(0, this->gateway.limits.max_answer_bytes));
+		this->answer_body.append(bytes.substr(0, this->gateway.limits.max_buffered_answer_bytes));
 		return;
 	}
 	auto keep = this->shared_from_this();
-	if (!this->splitter.Add(bytes)) return this->LoseRun("an event longer than the bound");
-	this->PassEvents();
-	this->SetFlow();
+	if (!this->splitter.Add(bytes)) return this->FailRun("an event longer than the bound");
+	this->ForwardEvents();
+	this->UpdateFlowControl();
 }
 
-void StreamRelay::PassEvents()
+void StreamRelay::ForwardEvents()
 {
 	TimePoint now = MonotonicNow();
-	while (std::optional<RawEvent> event = this->splitter.Next()) this->PassEvent(*event, now);
+	while (std::optional<RawEvent> event = this->splitter.Next()) this->ForwardEvent(*event, now);
 }
 
-void StreamRelay::PassEvent(const RawEvent &event, TimePoint now)
+void StreamRelay::ForwardEvent(const RawEvent &event, TimePoint now)
 {
 	if (event.id && this->has_event && *event.id <= this->last_event) return;
 	this->exchange->Write(event.bytes);
@@ -61,73 +61,73 @@
 	const std::string &account = this->request.account;
 	if (!this->has_event) {
 		Duration first = now - this->request.spec.arrived;
-		this->first_after = first;
+		this->first_event_after = first;
 		this->gateway.metrics.Observe(Measure::FirstTokenSeconds, account, this->request.spec.service_class, Seconds(first));
 	} else {
-		Duration gap = now - this->last_at;
+		Duration gap = now - this->last_event_at;
 		this->longest_gap = std::max(this->longest_gap, gap);
 		this->gateway.metrics.Observe(Measure::TokenIntervalSeconds, account, this->request.spec.service_class, Seconds(gap));
 	}
 	this->has_event = true;
 	this->last_event = *event.id;
-	this->last_at = now;
+	this->last_event_at = now;
 	this->events++;
 	bool first = this->events == 1;
 	this->gateway.dispatcher.OnToken(this->request.spec.id, now, this->request.engines.tokens_per_event);
-	if (this->target) this->gateway.OnCallAt(this->request, *this->target, first);
+	if (this->target) this->gateway.OnCallProgress(this->request, *this->target, first);
 }
 
-void StreamRelay::SetFlow()
+void StreamRelay::UpdateFlowControl()
 {
-	if (this->over) return;
-	bool pause = this->exchange->Backlog() > this->gateway.FrontLimitsInForce().max_backlog_bytes;
+	if (this->concluded) return;
+	bool pause = this->exchange->Backlog() > this->gateway.ActiveFrontLimits().max_backlog_bytes;
 	if (pause == this->paused) return;
 	this->paused = pause;
-	if (this->link != 0) this->gateway.upstream.SetReading(this->link, !pause);
+	if (this->upstream_call != 0) this->gateway.upstream.SetReading(this->upstream_call, !pause);
 }
 
 void StreamRelay::OnEnd(uint64_t from, UpstreamEnd end, const char *cause)
 {
 	auto keep = this->shared_from_this();
-	if (from == this->move.resume_link) {
-		this->move.resume_link = 0;
-		if (!this->over) this->OnResumeEnd(end, cause);
+	if (from == this->move.resume_call) {
+		this->move.resume_call = 0;
+		if (!this->concluded) this->OnResumeEnd(end, cause);
 		return;
 	}
-	if (from != this->link) return;
-	this->link = 0;
-	if (!this->over) this->OnRunEnd(end, cause);
+	if (from != this->upstream_call) return;
+	this->upstream_call = 0;
+	if (!this->concluded) this->OnRunEnd(end, cause);
 }
 
 void StreamRelay::OnRunEnd(UpstreamEnd end, const char *cause)
 {
-	if (IsUnsent(end)) return this->EndSend(SendEnd::NotSent);
+	if (IsCertainlyUnsent(end)) return this->FinishSend(SendOutcome::NotSent);
 	if (end == UpstreamEnd::Complete && this->streaming) return this->Finish();
-	if (end == UpstreamEnd::Complete) return this->RelayRefusal();
-	this->gateway.OnSendBroken(this->request, *this->target, this->Stage(), MonotonicNow());
-	if (this->IsQuarantined()) return this->LoseRun(cause);
+	if (end == UpstreamEnd::Complete) return this->ForwardErrorAnswer();
+	this->gateway.OnSendInterrupted(this->request, *this->target, this->Stage(), MonotonicNow());
+	if (this->IsQuarantined()) return this->FailRun(cause);
 	// A run whose memory has been, or is being, copied goes on from the copy.
-	if (this->move.phase != MovePhase::None) return this->LogMove("source-lost", cause);
+	if (this->move.phase != MigrationPhase::None) return this->LogMigration("source-lost", cause);
 	if (this->ResumeFromBackup(cause, MonotonicNow())) return;
-	this->LoseRun(cause);
+	this->FailRun(cause);
 }
 
 RunStage StreamRelay::Stage() const
 {
 	if (!this->streaming) return RunStage::Waiting;
 	// What counts is for how long events came: an instance that was suspended finds the break long after it.
-	bool well = this->has_event && this->last_at - this->streaming_at >= this->gateway.limits.begun_lately;
-	return well ? RunStage::RunsWell : RunStage::Begun;
+	bool well = this->has_event && this->last_event_at - this->streaming_since >= this->gateway.limits.crash_suspect_window;
+	return well ? RunStage::Stable : RunStage::Started;
 }
 
-void StreamRelay::RelayRefusal()
+void StreamRelay::ForwardErrorAnswer()
 {
 	AnswerInfo info = ReadAnswer(this->answer_head);
 	int status = this->answer_head.status;
-	if (info.not_run) return this->EndSend(NotRunEnd(info));
+	if (info.not_executed) return this->FinishSend(NotExecutedOutcome(info));
 	bool promises = status == 503 || status == 429 || status == 408 || status == 421;
-	this->EndSend(SendEnd::Failed);
-	if (this->over) return;
+	this->FinishSend(SendOutcome::Failed);
+	if (this->concluded) return;
 	if (promises || status / 100 == 2) return this->Fail(502, "answer-unusable");
 	this->exchange->Respond(status, HeadersForCaller(this->answer_head.headers), this->answer_body, this->answer_head.reason);
 	this->Conclude("answered", status);
@@ -135,21 +135,21 @@
 
 void StreamRelay::Finish()
 {
-	this->exchange->Write(this->splitter.TakeRest());
+	this->exchange->Write(this->splitter.TakeRemainder());
 	this->exchange->Finish();
-	this->OnGone();
+	this->CancelAuxiliaryCalls();
 	Log(LogLevel::Info, "streamed",
 	    {{"request", this->request.info.attempt},
 	     {"events", std::to_string(this->events)},
-	     {"first_ms", FormatMilliseconds(this->first_after)},
+	     {"first_ms", FormatMilliseconds(this->first_event_after)},
 	     {"longest_gap_ms", FormatMilliseconds(this->longest_gap)},
 	     {"moves", std::to_string(this->moves)}});
-	this->EndSend(SendEnd::Complete);
-	this->gateway.OnAnsweredWell(this->request);
+	this->FinishSend(SendOutcome::Complete);
+	this->gateway.OnAnsweredSuccessfully(this->request);
 	this->Conclude("answered", 200);
 }
 
-void StreamRelay::LoseRun(const char *cause)
+void StreamRelay::FailRun(const char *cause)
 {
 	Log(LogLevel::Warning, "run-lost",
 	    {{"request", this->request.info.attempt},
@@ -158,113 +158,116 @@
 	     {"moves", std::to_string(this->moves)},
 	     {"copy_kept", this->backup ? "yes" : "no"},
 	     {"cause", cause}});
-	this->OnGone();
-	if (this->link != 0) this->gateway.upstream.Cancel(this->link);
-	this->link = 0;
-	this->EndSend(this->has_event ? SendEnd::LostAfterUse : SendEnd::Lost);
+	this->CancelAuxiliaryCalls();
+	if (this->upstream_call != 0) this->gateway.upstream.Cancel(this->upstream_call);
+	this->upstream_call = 0;
+	this->FinishSend(this->has_event ? SendOutcome::LostAfterDelivery : SendOutcome::Lost);
 	this->Fail(502, "run-lost");
 }
 
-void StreamRelay::OnGone()
+void StreamRelay::CancelAuxiliaryCalls()
 {
-	if (this->move.resume_link != 0) this->gateway.upstream.Cancel(this->move.resume_link);
+	if (this->move.resume_call != 0) this->gateway.upstream.Cancel(this->move.resume_call);
 	if (this->move.call != 0) this->gateway.upstream.Cancel(this->move.call);
 	bool unused = !this->move.handle.empty() && this->target;
 	if (unused) {
 		const std::string &name = this->gateway.dispatcher.Targets().Get(*this->target).name;
-		this->gateway.upstream.Start(MakeDropCall(this->gateway.AddressOf(*this->target), name, this->move.handle));
+		this->gateway.upstream.Start(MakeReleaseCall(this->gateway.AddressOf(*this->target), name, this->move.handle));
 	}
-	this->EndMove();
+	this->ResetMigration();
 }
 
-void StreamRelay::EndMove()
+void StreamRelay::ResetMigration()
 {
-	if (this->move.counted) this->gateway.OnCopyOver(this->request, this->move.to);
-	this->move = Move{};
+	if (this->move.counted) this->gateway.OnCopyFinished(this->request, this->move.to);
+	this->move = Migration{};
 }
 
 void StreamRelay::OnTick(TimePoint now)
 {
-	if (this->over) return;
+	if (this->concluded) return;
 	auto keep = this->shared_from_this();
-	if (this->move.phase == MovePhase::Resuming) this->GiveUpSource();
-	if (this->move.phase == MovePhase::None) this->TryMove(now);
-	if (this->move.phase == MovePhase::None && this->IsSilent(now)) this->ResumeFromBackup("silent", now);
-	if (!this->over) RelayCall::OnTick(now);
+	if (this->move.phase == MigrationPhase::Resuming) this->CancelSource();
+	if (this->move.phase == MigrationPhase::None) this->TryMigrate(now);
+	if (this->move.phase == MigrationPhase::None && this->IsStalled(now)) this->ResumeFromBackup("silent", now);
+	if (!this->concluded) RelayCall::OnTick(now);
 }
 
-void StreamRelay::OnTargetLeaving(TimePoint now)
+void StreamRelay::OnTargetDraining(TimePoint now)
 {
-	this->TryMove(now);
+	this->TryMigrate(now);
 }
 
-void StreamRelay::TryMove(TimePoint now)
+void StreamRelay::TryMigrate(TimePoint now)
 {
-	if (this->over || !this->target || this->link == 0 || !this->request.engines.can_move || !this->gateway.limits.use_moves) return;
-	if (this->move.phase != MovePhase::None || now < this->move.not_before) return;
+	if (this->concluded || !this->target || this->upstream_call == 0 || !this->request.engines.can_migrate ||
+	    !this->gateway.limits.use_migration)
+		return;
+	if (this->move.phase != MigrationPhase::None || now < this->move.not_before) return;
 	const TargetState &source = this->gateway.dispatcher.Targets().Get(*this->target);
 	// Runs of a hall that is emptied end there: moving them out serves no more callers.
-	if (!source.bounds.leaving || now < source.bounds.paused_until) return;
+	if (!source.restrictions.draining || now < source.restrictions.paused_until) return;
 	auto flight = source.in_flight.find(this->request.spec.id);
 	if (flight == source.in_flight.end()) return;
 	// A run that has begun and ends soon is done before a copy of it would be.
 	double interval = source.interval > 0 ? source.interval : 0.01;
-	if (this->has_event && FromSeconds(flight->second.residual * interval) < this->gateway.limits.least_move) return;
+	if (this->has_event && FromSeconds(flight->second.residual * interval) < this->gateway.limits.migration_min_remaining) return;
 	if (this->ResumeFromBackup("leaving", now)) return;
-	if (!this->move.turn) this->move.turn = now + this->CopyWait();
-	if (now < *this->move.turn) return;
-	std::optional<TargetNumber> to = this->gateway.dispatcher.ChooseMove(this->request.spec.id, this->move.refused, now);
+	if (!this->move.copy_not_before) this->move.copy_not_before = now + this->MigrationCopyDelay();
+	if (now < *this->move.copy_not_before) return;
+	std::optional<TargetNumber> to = this->gateway.dispatcher.ChooseMigrationTarget(this->request.spec.id, this->move.refused, now);
 	if (!to) {
 		this->move.refused.clear();
-		this->move.not_before = now + this->gateway.limits.move_retry;
-		return this->LogMove("no-engine", "none has room");
+		this->move.not_before = now + this->gateway.limits.migration_retry_delay;
+		return this->LogMigration("no-engine", "none has room");
 	}
-	this->move.phase = MovePhase::Copying;
+	this->move.phase = MigrationPhase::Copying;
 	this->move.to = *to;
 	this->move.begun = now;
 	this->move.tries++;
-	this->move.counted = this->gateway.limits.count_copies;
-	if (this->move.counted) this->gateway.OnCopyBegun(this->request, *to);
+	this->move.counted = this->gateway.limits.count_pending_copies;
+	if (this->move.counted) this->gateway.OnCopyStarted(this->request, *to);
 	std::weak_ptr<RelayCall> weak = this->weak_from_this();
-	auto done = [weak](const MoveAnswer &answer) {
+	auto done = [weak](const MigrationAnswer &answer) {
 		auto self = std::static_pointer_cast<StreamRelay>(weak.lock());
-		if (!self || self->over) return;
+		if (!self || self->concluded) return;
 		self->move.call = 0;
 		self->OnCopied(answer);
 	};
 	this->move.call =
-	        this->gateway.upstream.Start(MakeMoveCall(this->gateway.AddressOf(*this->target), source.name, this->request.info.attempt,
-	                                                  this->gateway.AddressOf(*to).Text(), false, done));
-	this->LogMove("copy", "asked");
+	        this->gateway.upstream.Start(MakeMigrationCall(this->gateway.AddressOf(*this->target), source.name, this->request.info.attempt,
+	                                                       this->gateway.AddressOf(*to).Text(), false, done));
+	this->LogMigration("copy", "asked");
 }
 
-Duration StreamRelay::CopyWait() const
+Duration StreamRelay::MigrationCopyDelay() const
 {
 	const GatewayLimits &limits = this->gateway.limits;
-	Duration wait = this->gateway.dispatcher.CopyWait(this->request.spec.id, this->request.engines, limits.least_move);
-	return FromSeconds(Seconds(wait) * limits.copy_lead);
+	Duration wait =
+	        this->gateway.dispatcher.MigrationCopyDelay(this->request.spec.id, this->request.engines, limits.migration_min_remaining);
+	return FromSeconds(Seconds(wait) * limits.copy_lead_fraction);
 }
 
-void StreamRelay::OnCopied(const MoveAnswer &answer)
+void StreamRelay::OnCopied(const MigrationAnswer &answer)
 {
 	auto keep = this->shared_from_this();
-	Duration pause = this->gateway.limits.move_retry;
+	Duration pause = this->gateway.limits.migration_retry_delay;
 	switch (answer.kind) {
-	case MoveAnswer::Kind::Copied:
+	case MigrationAnswer::Kind::Copied:
 		this->move.handle = answer.handle;
-		this->move.covers = answer.events;
-		this->LogMove("copy", "done");
-		if (!this->MayResumeAt(this->move.to)) return this->DropCopy();
+		this->move.copied_events = answer.events;
+		this->LogMigration("copy", "done");
+		if (!this->MayResumeAt(this->move.to)) return this->DiscardCopy();
 		return this->Resume({this->gateway.AddressOf(*this->target).Text(), answer.handle, this->last_event}, MonotonicNow());
-	case MoveAnswer::Kind::NoRoom:
+	case MigrationAnswer::Kind::NoCapacity:
 		this->move.refused.push_back(this->move.to);
-		return this->DropMove("no-room", Duration(0));
-	case MoveAnswer::Kind::NoRun:
-		return this->DropMove("no-run-yet", pause);
-	case MoveAnswer::Kind::Busy:
-		return this->DropMove("busy", pause);
-	case MoveAnswer::Kind::NoAnswer:
-		return this->DropMove("no-answer", pause);
+		return this->FailMigration("no-room", Duration(0));
+	case MigrationAnswer::Kind::NoRun:
+		return this->FailMigration("no-run-yet", pause);
+	case MigrationAnswer::Kind::Busy:
+		return this->FailMigration("busy", pause);
+	case MigrationAnswer::Kind::NoAnswer:
+		return this->FailMigration("no-answer", pause);
 	}
 }
 
@@ -273,44 +276,44 @@
 	CallSpec run = this->request.spec;
 	run.halls = this->gateway.HallsFor(this->request);
 	if (run.halls.empty() || this->IsQuarantined()) return false;
-	run.avoid_cold = true;
-	return this->gateway.dispatcher.Targets().MayGet(this->gateway.dispatcher.Targets().Get(to), run, MonotonicNow());
+	run.exclude_cold = true;
+	return this->gateway.dispatcher.Targets().IsEligible(this->gateway.dispatcher.Targets().Get(to), run, MonotonicNow());
 }
 
-void StreamRelay::DropCopy()
+void StreamRelay::DiscardCopy()
 {
 	const std::string &name = this->gateway.dispatcher.Targets().Get(*this->target).name;
-	this->gateway.upstream.Start(MakeDropCall(this->gateway.AddressOf(*this->target), name, this->move.handle));
+	this->gateway.upstream.Start(MakeReleaseCall(this->gateway.AddressOf(*this->target), name, this->move.handle));
 	this->move.refused.push_back(this->move.to);
-	this->DropMove("not-usable-any-more", Duration(0));
+	this->FailMigration("not-usable-any-more", Duration(0));
 }
 
-void StreamRelay::DropMove(const char *why, Duration pause)
+void StreamRelay::FailMigration(const char *why, Duration pause)
 {
-	this->LogMove("failed", why);
-	this->move.phase = MovePhase::None;
-	if (this->move.counted) this->gateway.OnCopyOver(this->request, this->move.to);
+	this->LogMigration("failed", why);
+	this->move.phase = MigrationPhase::None;
+	if (this->move.counted) this->gateway.OnCopyFinished(this->request, this->move.to);
 	this->move.counted = false;
 	this->move.handle.clear();
 	this->move.not_before = MonotonicNow() + pause;
-	if (this->link == 0) this->LoseRun(why);
+	if (this->upstream_call == 0) this->FailRun(why);
 }
 
 void StreamRelay::Resume(const ResumePoint &point, TimePoint now)
 {
-	this->move.phase = MovePhase::Resuming;
+	this->move.phase = MigrationPhase::Resuming;
 	this->move.backup = this->ChooseBackupFor(this->move.to, now);
-	this->gateway.dispatcher.Targets().NoteRequest(this->move.to, now);
-	this->move.resume_link = this->StartUpstream(this->move.to, point, this->move.backup);
-	this->GiveUpSource();
+	this->gateway.dispatcher.Targets().OnRequestSent(this->move.to, now);
+	this->move.resume_call = this->StartUpstream(this->move.to, point, this->move.backup);
+	this->CancelSource();
 }
 
-void StreamRelay::GiveUpSource()
+void StreamRelay::CancelSource()
 {
 	// What the old run still makes, the new one makes again before it comes to anything new: the caller would wait for that.
-	if (this->link == 0 || !this->gateway.upstream.IsConnected(this->move.resume_link)) return;
-	this->gateway.upstream.Cancel(this->link);
-	this->link = 0;
+	if (this->upstream_call == 0 || !this->gateway.upstream.IsConnected(this->move.resume_call)) return;
+	this->gateway.upstream.Cancel(this->upstream_call);
+	this->upstream_call = 0;
 }
 
 bool StreamRelay::ResumeFromBackup(const char *why, TimePoint now)
@@ -320,61 +323,61 @@
 	// A copy serves once, and one that leaves with its engine is of no use.
 	this->backup.reset();
 	if (!this->MayResumeAt(at)) return false;
-	this->EndMove();
+	this->ResetMigration();
 	this->move.to = at;
 	this->move.begun = now;
 	this->Resume({this->gateway.AddressOf(at).Text(), this->request.info.attempt, this->last_event}, now);
-	this->LogMove("from-copy", why);
+	this->LogMigration("from-copy", why);
 	return true;
 }
 
-bool StreamRelay::IsSilent(TimePoint now) const
+bool StreamRelay::IsStalled(TimePoint now) const
 {
-	if (!this->backup || !this->has_event || this->paused || this->link == 0) return false;
+	if (!this->backup || !this->has_event || this->paused || this->upstream_call == 0) return false;
 	Duration good = this->request.route.gap_objective;
-	return good > Duration(0) && now - this->last_at > FromSeconds(Seconds(good) * this->gateway.limits.silence_part);
+	return good > Duration(0) && now - this->last_event_at > FromSeconds(Seconds(good) * this->gateway.limits.silence_fraction);
 }
 
 bool StreamRelay::OnResumeHead(const HttpHead &head)
 {
-	if (!this->IsMine(head)) return false;
+	if (!this->AnswersThisRequest(head)) return false;
 	AnswerInfo info = ReadAnswer(head);
-	this->gateway.OnAnswerBegun(this->request, this->move.to, info, this->move.begun);
+	this->gateway.OnAnswerHead(this->request, this->move.to, info, this->move.begun);
 	if (head.status == 200 && info.stamped) {
-		this->TakeOver();
+		this->SwitchToNewEngine();
 		this->StartAnswer(head);
 	} else {
-		this->LogMove("refused", std::to_string(head.status).c_str());
+		this->LogMigration("refused", std::to_string(head.status).c_str());
 	}
 	return true;
 }
 
-void StreamRelay::TakeOver()
+void StreamRelay::SwitchToNewEngine()
 {
-	if (this->link != 0) this->gateway.upstream.Cancel(this->link);
-	this->link = this->move.resume_link;
-	this->splitter.TakeRest();
+	if (this->upstream_call != 0) this->gateway.upstream.Cancel(this->upstream_call);
+	this->upstream_call = this->move.resume_call;
+	this->splitter.TakeRemainder();
 	this->streaming = true;
 	this->moves++;
-	this->LogMove("taken-over", "done");
+	this->LogMigration("taken-over", "done");
 	this->gateway.metrics.Count("cottonspool_moves_total");
 	TargetNumber to = this->move.to;
-	this->gateway.dispatcher.OnMoved(this->request.spec.id, to, MonotonicNow());
+	this->gateway.dispatcher.OnMigrated(this->request.spec.id, to, MonotonicNow());
 	this->target = to;
 	this->backup = this->move.backup;
-	this->EndMove();
-	this->gateway.OnCallAt(this->request, to, true);
-	if (this->paused) this->gateway.upstream.SetReading(this->link, false);
+	this->ResetMigration();
+	this->gateway.OnCallProgress(this->request, to, true);
+	if (this->paused) this->gateway.upstream.SetReading(this->upstream_call, false);
 }
 
 void StreamRelay::OnResumeEnd(UpstreamEnd end, const char *cause)
 {
-	if (end == UpstreamEnd::Broken) this->gateway.OnSendBroken(this->request, this->move.to, RunStage::Waiting, MonotonicNow());
+	if (end == UpstreamEnd::Broken) this->gateway.OnSendInterrupted(this->request, this->move.to, RunStage::Waiting, MonotonicNow());
 	this->move.refused.push_back(this->move.to);
-	this->DropMove(cause, Duration(0));
+	this->FailMigration(cause, Duration(0));
 }
 
-void StreamRelay::LogMove(const char *step, const char *result)
+void StreamRelay::LogMigration(const char *step, const char *result)
 {
 	const TargetTable &targets = this->gateway.dispatcher.Targets();
 	Duration took = this->move.begun == TimePoint{} ? Duration(0) : MonotonicNow() - this->move.begun;
@@ -383,9 +386,9 @@
 	     {"step", step},
 	     {"result", result},
 	     {"from", this->target ? targets.Get(*this->target).name : ""},
-	     {"to", this->move.phase == MovePhase::None ? "" : targets.Get(this->move.to).name},
+	     {"to", this->move.phase == MigrationPhase::None ? "" : targets.Get(this->move.to).name},
 	     {"last_event", std::to_string(this->last_event)},
-	     {"copied_event", std::to_string(this->move.covers)},
+	     {"copied_event", std::to_string(this->move.copied_events)},
 	     {"try", std::to_string(this->move.tries)},
 	     {"ms", FormatMilliseconds(took)}});
 }
--- a/src/generation/event_splitter.cpp
+++ b/src/generation/event_splitter.cpp
@@ -53,7 +53,7 @@
 	return std::nullopt;
 }
 
-std::string EventSplitter::TakeRest()
+std::string EventSplitter::TakeRemainder()
 {
 	this->searched = 0;
 	return std::exchange(this->buffer, {});
--- a/src/generation/event_splitter.h
+++ b/src/generation/event_splitter.h
@@ -27,7 +27,7 @@
 	std::optional<RawEvent> Next();
 
 	/** @return Bytes of the event that is not whole; forgotten afterwards. */
-	std::string TakeRest();
+	std::string TakeRemainder();
 
 	static constexpr size_t MAX_EVENT_BYTES = 1U << 20; ///< Longest event.
 
