--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -10,7 +10,7 @@
 
 namespace cottonspool {
 
-static constexpr uint64_t SWEEP_MS = 50;           ///< Time between looks at the limits of all calls.
+static constexpr uint64_t LIMIT_CHECK_MS = 50;     ///< Time between looks at the limits of all calls.
 static constexpr long MAX_IDLE_CONNECTIONS = 1024; ///< Idle connections kept for reuse.
 
 struct Transfer;
@@ -20,14 +20,14 @@
 	uv_loop_t *loop = nullptr;                                         ///< Loop.
 	CURLM *multi = nullptr;                                            ///< libcurl's multi handle.
 	uv_timer_t timer{};                                                ///< libcurl's timer.
-	uv_timer_t sweep{};                                                ///< Looks at the limits.
+	uv_timer_t limit_timer{};                                          ///< Looks at the limits.
 	std::unordered_map<uint64_t, std::unique_ptr<Transfer>> transfers; ///< Calls under way.
 	std::unordered_set<uint64_t> ready;                                ///< Calls with something to hand on.
 	uint64_t next = 1;                                                 ///< Next number.
 	bool closed = false;                                               ///< Shutdown() was called.
 
-	void Deliver();
-	void Collect();
+	void DeliverReady();
+	void CollectFinished();
 	void Remove(uint64_t number);
 	void CheckLimits(TimePoint now);
 };
@@ -41,10 +41,10 @@
 	HttpCall call;                       ///< The call.
 	HttpHeaders answer_headers;          ///< Headers of the answer so far.
 	bool head_complete = false;          ///< The empty line after the headers came.
-	bool head_told = false;              ///< on_head was called.
-	std::string inbox;                   ///< Body not yet handed on.
-	bool over = false;                   ///< libcurl is done with it.
-	HttpEnd end;                         ///< How it ended, when over.
+	bool head_delivered = false;         ///< on_head was called.
+	std::string undelivered_body;        ///< Body not yet handed on.
+	bool done = false;                   ///< libcurl is done with it.
+	HttpCallResult end;                  ///< How it ended, when over.
 	TimePoint started;                   ///< When it was started.
 	TimePoint last_activity;             ///< When anything last came.
 	bool paused = false;                 ///< Reading is paused.
@@ -78,45 +78,45 @@
 static size_t OnBody(char *data, size_t size, size_t count, void *user)
 {
 	auto *transfer = static_cast<Transfer *>(user);
-	transfer->inbox.append(data, size * count);
+	transfer->undelivered_body.append(data, size * count);
 	transfer->client->ready.insert(transfer->number);
 	return size * count;
 }
 
 /** @return How a transfer ended, from libcurl's result; certain of NotSent only when no byte of the request has left. */
-static HttpEnd MakeEnd(CURL *easy, CURLcode code, bool timed_out)
+static HttpCallResult MakeResult(CURL *easy, CURLcode code, bool timed_out)
 {
-	HttpEnd end;
+	HttpCallResult end;
 	long status = 0;
 	long request_bytes = 0;
 	curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
 	curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &request_bytes);
 	end.status = static_cast<int>(status);
 	if (code == CURLE_OK && !timed_out) {
-		end.kind = HttpEndKind::Answered;
+		end.kind = HttpCallOutcome::Answered;
 	} else if (request_bytes == 0) {
-		end.kind = HttpEndKind::NotSent;
+		end.kind = HttpCallOutcome::NotSent;
 	} else {
-		end.kind = timed_out || code == CURLE_OPERATION_TIMEDOUT ? HttpEndKind::TimedOut : HttpEndKind::Broken;
+		end.kind = timed_out || code == CURLE_OPERATION_TIMEDOUT ? HttpCallOutcome::TimedOut : HttpCallOutcome::Broken;
 	}
 	end.message = timed_out ? "limit passed" : curl_easy_strerror(code);
 	return end;
 }
 
-void HttpClient::State::Collect()
+void HttpClient::State::CollectFinished()
 {
 	int left = 0;
 	while (CURLMsg *message = curl_multi_info_read(this->multi, &left)) {
 		if (message->msg != CURLMSG_DONE) continue;
 		Transfer *transfer = nullptr;
 		curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &transfer);
-		transfer->over = true;
-		transfer->end = MakeEnd(message->easy_handle, message->data.result, false);
+		transfer->done = true;
+		transfer->end = MakeResult(message->easy_handle, message->data.result, false);
 		this->ready.insert(transfer->number);
 	}
 }
 
-void HttpClient::State::Deliver()
+void HttpClient::State::DeliverReady()
 {
 	TimePoint now = MonotonicNow();
 	while (!this->ready.empty()) {
@@ -126,21 +126,21 @@
 		if (found == this->transfers.end()) continue;
 		Transfer *transfer = found->second.get();
 		transfer->last_activity = now;
-		if (transfer->head_complete && !transfer->head_told) {
-			transfer->head_told = true;
+		if (transfer->head_complete && !transfer->head_delivered) {
+			transfer->head_delivered = true;
 			long status = 0;
 			curl_easy_getinfo(transfer->easy, CURLINFO_RESPONSE_CODE, &status);
 			if (transfer->call.on_head) transfer->call.on_head(static_cast<int>(status), transfer->answer_headers);
 			if (!this->transfers.contains(number)) continue;
 		}
-		if (!transfer->inbox.empty()) {
-			std::string data = std::move(transfer->inbox);
-			transfer->inbox.clear();
+		if (!transfer->undelivered_body.empty()) {
+			std::string data = std::move(transfer->undelivered_body);
+			transfer->undelivered_body.clear();
 			if (transfer->call.on_data) transfer->call.on_data(data);
 			if (!this->transfers.contains(number)) continue;
 		}
-		if (!transfer->over) continue;
-		HttpEnd end = std::move(transfer->end);
+		if (!transfer->done) continue;
+		HttpCallResult end = std::move(transfer->end);
 		auto on_end = std::move(transfer->call.on_end);
 		this->Remove(number);
 		if (on_end) on_end(end);
@@ -161,38 +161,38 @@
 void HttpClient::State::CheckLimits(TimePoint now)
 {
 	for (auto &[number, transfer] : this->transfers) {
-		if (transfer->over) continue;
+		if (transfer->done) continue;
 		Duration age = now - transfer->started;
-		bool silent = transfer->head_complete && !transfer->paused && now - transfer->last_activity > transfer->call.idle_limit;
-		bool late = !transfer->head_complete && age > transfer->call.first_byte_limit;
-		if (!silent && !late && age <= transfer->call.total_limit) continue;
-		transfer->over = true;
-		transfer->end = MakeEnd(transfer->easy, CURLE_OPERATION_TIMEDOUT, true);
+		bool idle_expired = transfer->head_complete && !transfer->paused && now - transfer->last_activity > transfer->call.idle_timeout;
+		bool first_byte_expired = !transfer->head_complete && age > transfer->call.first_byte_timeout;
+		if (!idle_expired && !first_byte_expired && age <= transfer->call.total_timeout) continue;
+		transfer->done = true;
+		transfer->end = MakeResult(transfer->easy, CURLE_OPERATION_TIMEDOUT, true);
 		this->ready.insert(number);
 	}
-	this->Deliver();
+	this->DeliverReady();
 }
 
 /** Let libcurl act on \a socket and hand on what came of it. */
-static void Act(HttpClient::State *state, curl_socket_t socket, int events)
+static void DriveSocket(HttpClient::State *state, curl_socket_t socket, int events)
 {
 	int running = 0;
 	curl_multi_socket_action(state->multi, socket, events, &running);
-	state->Collect();
-	state->Deliver();
+	state->CollectFinished();
+	state->DeliverReady();
 }
 
-static void OnPoll(uv_poll_t *poll, int status, int events)
+static void OnSocketReady(uv_poll_t *poll, int status, int events)
 {
 	auto *watched = static_cast<WatchedSocket *>(poll->data);
 	int flags = 0;
 	if (status < 0) flags |= CURL_CSELECT_ERR;
 	if (events & UV_READABLE) flags |= CURL_CSELECT_IN;
 	if (events & UV_WRITABLE) flags |= CURL_CSELECT_OUT;
-	Act(watched->state, watched->socket, flags);
+	DriveSocket(watched->state, watched->socket, flags);
 }
 
-static int OnSocketWanted(CURL *, curl_socket_t socket, int what, void *user, void *socket_data)
+static int OnSocketChange(CURL *, curl_socket_t socket, int what, void *user, void *socket_data)
 {
 	auto *state = static_cast<HttpClient::State *>(user);
 	auto *watched = static_cast<WatchedSocket *>(socket_data);
@@ -211,11 +211,11 @@
 		curl_multi_assign(state->multi, socket, watched);
 	}
 	int events = (what & CURL_POLL_IN ? UV_READABLE : 0) | (what & CURL_POLL_OUT ? UV_WRITABLE : 0);
-	uv_poll_start(&watched->poll, events, OnPoll);
+	uv_poll_start(&watched->poll, events, OnSocketReady);
 	return 0;
 }
 
-static int OnTimerWanted(CURLM *, long timeout_ms, void *user)
+static int OnTimerChange(CURLM *, long timeout_ms, void *user)
 {
 	auto *state = static_cast<HttpClient::State *>(user);
 	if (state->closed) return 0;
@@ -224,7 +224,7 @@
 		return 0;
 	}
 	uv_timer_start(
-	        &state->timer, [](uv_timer_t *timer) { Act(static_cast<HttpClient::State *>(timer->data), CURL_SOCKET_TIMEOUT, 0); },
+	        &state->timer, [](uv_timer_t *timer) { DriveSocket(static_cast<HttpClient::State *>(timer->data), CURL_SOCKET_TIMEOUT, 0); },
 	        static_cast<uint64_t>(timeout_ms), 0);
 	return 0;
 }
@@ -235,18 +235,18 @@
 	(void)initialised;
 	this->state->loop = loop;
 	this->state->multi = curl_multi_init();
-	curl_multi_setopt(this->state->multi, CURLMOPT_SOCKETFUNCTION, OnSocketWanted);
+	curl_multi_setopt(this->state->multi, CURLMOPT_SOCKETFUNCTION, OnSocketChange);
 	curl_multi_setopt(this->state->multi, CURLMOPT_SOCKETDATA, this->state.get());
-	curl_multi_setopt(this->state->multi, CURLMOPT_TIMERFUNCTION, OnTimerWanted);
+	curl_multi_setopt(this->state->multi, CURLMOPT_TIMERFUNCTION, OnTimerChange);
 	curl_multi_setopt(this->state->multi, CURLMOPT_TIMERDATA, this->state.get());
 	curl_multi_setopt(this->state->multi, CURLMOPT_MAXCONNECTS, MAX_IDLE_CONNECTIONS);
 	uv_timer_init(loop, &this->state->timer);
-	uv_timer_init(loop, &this->state->sweep);
+	uv_timer_init(loop, &this->state->limit_timer);
 	this->state->timer.data = this->state.get();
-	this->state->sweep.data = this->state.get();
+	this->state->limit_timer.data = this->state.get();
 	uv_timer_start(
-	        &this->state->sweep, [](uv_timer_t *timer) { static_cast<State *>(timer->data)->CheckLimits(MonotonicNow()); }, SWEEP_MS,
-	        SWEEP_MS);
+	        &this->state->limit_timer, [](uv_timer_t *timer) { static_cast<State *>(timer->data)->CheckLimits(MonotonicNow()); },
+	        LIMIT_CHECK_MS, LIMIT_CHECK_MS);
 }
 
 HttpClient::~HttpClient()
@@ -279,13 +279,13 @@
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, OnBody);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, transfer.get());
 	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
-	                 static_cast<long>(std::chrono::duration_cast<std::chrono::milliseconds>(transfer->call.connect_limit).count()));
+	                 static_cast<long>(std::chrono::duration_cast<std::chrono::milliseconds>(transfer->call.connect_timeout).count()));
 	if (!transfer->call.body.empty() || transfer->call.method == "POST" || transfer->call.method == "PUT") {
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(transfer->call.body.size()));
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, transfer->call.body.c_str());
 	}
 	if (transfer->call.method == "HEAD") curl_easy_setopt(easy, CURLOPT_NOBODY, 1L);
-	if (transfer->call.single_send) curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
+	if (transfer->call.fresh_connection) curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer->headers);
 	this->state->transfers.emplace(number, std::move(transfer));
 	curl_multi_add_handle(this->state->multi, easy);
@@ -322,12 +322,12 @@
 	this->state->closed = true;
 	while (!this->state->transfers.empty()) this->state->Remove(this->state->transfers.begin()->first);
 	curl_multi_cleanup(this->state->multi);
-	auto *keep = new std::shared_ptr<State>(this->state);
-	this->state->sweep.data = keep;
+	auto *state_holder = new std::shared_ptr<State>(this->state);
+	this->state->limit_timer.data = state_holder;
 	uv_timer_stop(&this->state->timer);
-	uv_timer_stop(&this->state->sweep);
+	uv_timer_stop(&this->state->limit_timer);
 	uv_close(reinterpret_cast<uv_handle_t *>(&this->state->timer), nullptr);
-	uv_close(reinterpret_cast<uv_handle_t *>(&this->state->sweep),
+	uv_close(reinterpret_cast<uv_handle_t *>(&this->state->limit_timer),
 	         [](uv_handle_t *handle) { delete static_cast<std::shared_ptr<State> *>(handle->data); });
 }
 
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -14,18 +14,18 @@
 
 /** One call to make, with the functions that get its answer. Each is called from the loop, never from inside Start(). */
 struct HttpCall {
-	std::string method = "GET";                            ///< Method.
-	std::string url;                                       ///< "http://IP:PORT/path".
-	HttpHeaders headers;                                   ///< Header fields.
-	std::string body;                                      ///< Body.
-	Duration connect_limit = std::chrono::seconds(1);      ///< Longest time to connect.
-	Duration first_byte_limit = std::chrono::seconds(30);  ///< Longest time from the start to the head of the answer.
-	Duration idle_limit = std::chrono::seconds(30);        ///< Longest silence after the head.
-	Duration total_limit = std::chrono::hours(24);         ///< Longest time in all.
-	bool single_send = false;                              ///< Never let the library send it twice: a fresh connection.
-	std::function<void(int, const HttpHeaders &)> on_head; ///< Status and headers came.
-	std::function<void(std::string_view)> on_data;         ///< A part of the body came.
-	std::function<void(const HttpEnd &)> on_end;           ///< It is over; nothing follows.
+	std::string method = "GET";                             ///< Method.
+	std::string url;                                        ///< "http://IP:PORT/path".
+	HttpHeaders headers;                                    ///< Header fields.
+	std::string body;                                       ///< Body.
+	Duration connect_timeout = std::chrono::seconds(1);     ///< Longest time to connect.
+	Duration first_byte_timeout = std::chrono::seconds(30); ///< Longest time from the start to the head of the answer.
+	Duration idle_timeout = std::chrono::seconds(30);       ///< Longest silence after the head.
+	Duration total_timeout = std::chrono::hours(24);        ///< Longest time in all.
+	bool fresh_connection = false;                          ///< Never let the library send it twice: a fresh connection.
+	std::function<void(int, const HttpHeaders &)> on_head;  ///< Status and headers came.
+	std::function<void(std::string_view)> on_data;          ///< A part of the body came.
+	std::function<void(const HttpCallResult &)> on_end;     ///< It is over; nothing follows.
 };
 
 /** Makes HTTP calls. */
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -117,14 +117,14 @@
 {
 	if (this->IsClosed() || this->finished) return;
 	this->pending.append(data);
-	this->Pump();
+	this->SendPending();
 }
 
 void HttpExchange::Finish()
 {
 	if (this->IsClosed() || this->finished) return;
 	this->finished = true;
-	this->Pump();
+	this->SendPending();
 }
 
 void HttpExchange::Abort()
@@ -133,14 +133,14 @@
 	this->Finish();
 }
 
-void HttpExchange::Pump()
+void HttpExchange::SendPending()
 {
-	if (this->busy || this->sent_end || this->IsClosed()) return;
+	if (this->send_in_progress || this->end_sent || this->IsClosed()) return;
 	if (this->pending.empty() && !this->finished) return;
 	this->sending.swap(this->pending);
 	this->pending.clear();
-	this->busy = true;
-	this->sent_end = this->finished;
+	this->send_in_progress = true;
+	this->end_sent = this->finished;
 	h2o_iovec_t buffer = h2o_iovec_init(this->sending.data(), this->sending.size());
 	h2o_send_state_t end = this->aborted ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
 	h2o_send(this->req, &buffer, this->aborted ? 0 : 1, this->finished ? end : H2O_SEND_STATE_IN_PROGRESS);
@@ -148,23 +148,23 @@
 
 void HttpExchange::OnProceed()
 {
-	this->busy = false;
+	this->send_in_progress = false;
 	this->sending.clear();
-	this->Pump();
-	if (!this->busy && this->on_drained) this->on_drained();
+	this->SendPending();
+	if (!this->send_in_progress && this->on_drained) this->on_drained();
 }
 
 void HttpExchange::OnDisposed()
 {
 	this->req = nullptr;
-	if (this->sent_end) this->sending.clear();
+	if (this->end_sent) this->sending.clear();
 	std::function<void()> closed = std::move(this->on_closed);
 	this->on_closed = nullptr;
 	this->on_drained = nullptr;
 	if (closed) closed();
 }
 
-bool HttpExchange::IsCallerGone() const
+bool HttpExchange::IsCallerDisconnected() const
 {
 	if (this->IsClosed()) return true;
 	if (this->req->conn->callbacks->get_socket == nullptr) return false;
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -49,7 +49,7 @@
 	bool IsClosed() const { return this->req == nullptr; }
 
 	/** @return Whether the caller has closed the connection, as far as its socket tells. */
-	bool IsCallerGone() const;
+	bool IsCallerDisconnected() const;
 
 	/** Called by the server only: the connection wants more. */
 	void OnProceed();
@@ -61,15 +61,15 @@
 	void *generator = nullptr;   ///< h2o's generator for this request.
 
 private:
-	void Pump();
-
-	std::string pending;   ///< Not yet handed to the connection.
-	std::string sending;   ///< Handed to the connection, not yet sent.
-	bool started = false;  ///< The head was sent.
-	bool finished = false; ///< Nothing more will be written.
-	bool busy = false;     ///< The connection still sends what it was handed.
-	bool aborted = false;  ///< To be broken off instead of ended.
-	bool sent_end = false; ///< The end was handed to the connection.
+	void SendPending();
+
+	std::string pending;           ///< Not yet handed to the connection.
+	std::string sending;           ///< Handed to the connection, not yet sent.
+	bool started = false;          ///< The head was sent.
+	bool finished = false;         ///< Nothing more will be written.
+	bool send_in_progress = false; ///< The connection still sends what it was handed.
+	bool aborted = false;          ///< To be broken off instead of ended.
+	bool end_sent = false;         ///< The end was handed to the connection.
 };
 
 /** Accepts connections and hands requests to one handler. */
--- a/src/http/http_type.h
+++ b/src/http/http_type.h
@@ -45,7 +45,7 @@
 };
 
 /** How an HTTP call to another process ended. */
-enum class HttpEndKind : uint8_t {
+enum class HttpCallOutcome : uint8_t {
 	Answered, ///< The whole answer came.
 	NotSent,  ///< Certain: no byte of the request has left.
 	Broken,   ///< The connection broke after bytes of the request had left.
@@ -53,10 +53,10 @@
 };
 
 /** End of an HTTP call. */
-struct HttpEnd {
-	HttpEndKind kind = HttpEndKind::NotSent; ///< How it ended.
-	int status = 0;                          ///< Status, if the head of the answer came; 0 otherwise.
-	std::string message;                     ///< What was wrong.
+struct HttpCallResult {
+	HttpCallOutcome kind = HttpCallOutcome::NotSent; ///< How it ended.
+	int status = 0;                                  ///< Status, if the head of the answer came; 0 otherwise.
+	std::string message;                             ///< What was wrong.
 };
 
 } // namespace cottonspool
--- a/src/instance/call.cpp
+++ b/src/instance/call.cpp
@@ -17,30 +17,30 @@
 
 void Call::Begin()
 {
-	this->WatchCaller();
+	this->InstallCloseHandler();
 	if (!this->spec.repeatable && !this->instance.IsConfigurationFresh()) {
 		return this->Fail({503, "configuration-stale",
-		                   "this instance cannot confirm its configuration; calls that must not be repeated wait", RanState::No,
+		                   "this instance cannot confirm its configuration; calls that must not be repeated wait", ExecutionState::No,
 		                   this->instance.settings.dispatch.retry_after_min});
 	}
 	if (this->idempotency_key.empty()) return this->Submit();
 	this->BeginClaim();
 }
 
-void Call::WatchCaller()
+void Call::InstallCloseHandler()
 {
 	std::weak_ptr<Call> weak = this->weak_from_this();
 	this->exchange->on_closed = [weak] {
 		auto call = weak.lock();
-		if (!call || call->over) return;
-		call->Note("caller gone");
+		if (!call || call->concluded) return;
+		call->Trace("caller gone");
 		if (!call->spec.repeatable && call->sent) return; // Its result is recorded whether or not the caller waits.
-		call->over = true;
-		call->OnCallerGone();
-		if (call->submitted && !call->sent) call->instance.dispatcher.Withdraw(call->spec.id);
-		if (!call->doubtful) call->SettleClaim(RanState::No, 0, "", "");
+		call->concluded = true;
+		call->OnCallerDisconnected();
+		if (call->submitted && !call->sent) call->instance.dispatcher.CancelWaiting(call->spec.id);
+		if (!call->outcome_unknown) call->SettleClaim(ExecutionState::No, 0, "", "");
 		call->instance.metrics.Count("cottonspool_callers_gone_total");
-		call->instance.OnCallOver(call->spec.id);
+		call->instance.OnCallFinished(call->spec.id);
 	};
 }
 
@@ -50,18 +50,18 @@
 	std::weak_ptr<Call> weak = this->weak_from_this();
 	std::string key = this->idempotency_key;
 	std::string nonce = this->claim_nonce;
-	Instance &owner = this->instance;
-	auto done = [weak, key, nonce, &owner](ClaimStep step, const ClaimRow &row) {
+	Instance &call_instance = this->instance;
+	auto done = [weak, key, nonce, &call_instance](ClaimStep step, const ClaimRow &row) {
 		auto call = weak.lock();
-		if (!call || call->over) {
+		if (!call || call->concluded) {
 			if (step != ClaimStep::Proceed) return;
 			ClaimRow released = row;
 			released.state = ClaimState::Released;
-			owner.claims.Settle(key, std::move(released));
+			call_instance.claims.Settle(key, std::move(released));
 			return;
 		}
-		call->Note("claim: " + std::string(step == ClaimStep::Proceed ? "ours" : "not ours"));
-		Duration soon = owner.settings.dispatch.retry_after_min;
+		call->Trace("claim: " + std::string(step == ClaimStep::Proceed ? "ours" : "not ours"));
+		Duration soon = call_instance.settings.dispatch.retry_after_min;
 		switch (step) {
 		case ClaimStep::Proceed:
 			call->claim_version = row.version;
@@ -70,19 +70,19 @@
 		case ClaimStep::Replay: {
 			HttpHeaders headers{{"Cottonspool-Ran", "yes"}, {"Cottonspool-Replayed", "yes"}, {"content-type", row.content_type}};
 			call->exchange->Respond(row.status, headers, row.body);
-			return call->Conclude(RanState::Yes, row.status, row.content_type, row.body);
+			return call->Conclude(ExecutionState::Yes, row.status, row.content_type, row.body);
 		}
 		case ClaimStep::Mismatch:
-			return call->Fail({422, "key-reused", "this Idempotency-Key was used for another request", RanState::No, std::nullopt});
+			return call->Fail({422, "key-reused", "this Idempotency-Key was used for another request", ExecutionState::No, std::nullopt});
 		case ClaimStep::Busy:
-			return call->Fail(
-			        {409, "key-in-use", "a request with this key was taken before; its result is not recorded", RanState::Unknown, soon});
+			return call->Fail({409, "key-in-use", "a request with this key was taken before; its result is not recorded",
+			                   ExecutionState::Unknown, soon});
 		default:
 			return call->Fail(
-			        {503, "table-unavailable", "the platform's table cannot be reached; nothing was sent", RanState::No, 4 * soon});
+			        {503, "table-unavailable", "the platform's table cannot be reached; nothing was sent", ExecutionState::No, 4 * soon});
 		}
 	};
-	this->instance.claims.Make(this->idempotency_key, this->claim_nonce, this->request_hash, done);
+	this->instance.claims.Acquire(this->idempotency_key, this->claim_nonce, this->request_hash, done);
 }
 
 void Call::Submit()
@@ -91,65 +91,65 @@
 	TimePoint now = MonotonicNow();
 	Duration waited = now - this->spec.arrived;
 	if (waited > std::chrono::milliseconds(1)) this->spec.deadline += waited;
-	this->instance.Carry(this->instance.dispatcher.Submit(this->spec, now));
+	this->instance.Execute(this->instance.dispatcher.Submit(this->spec, now));
 }
 
-void Call::OnGiveUp(const GiveUpAction &action)
+void Call::OnReject(const RejectAction &action)
 {
-	RanState ran = this->RanSoFar();
-	int status = action.reason == GiveUpReason::QueueFull ? 429 : 503;
-	this->instance.metrics.Count(std::string("cottonspool_refused_total{reason=\"") + GiveUpReasonName(action.reason) + "\"}");
+	ExecutionState ran = this->CurrentExecutionState();
+	int status = action.reason == RejectReason::QueueFull ? 429 : 503;
+	this->instance.metrics.Count(std::string("cottonspool_refused_total{reason=\"") + RejectReasonName(action.reason) + "\"}");
 	this->sent = false;
-	this->Fail({status, GiveUpReasonName(action.reason), "given up before an answer could be made", ran, action.retry_after});
+	this->Fail({status, RejectReasonName(action.reason), "given up before an answer could be made", ran, action.retry_after});
 }
 
 void Call::OnTick(TimePoint)
 {
-	if (this->over || this->exchange->IsStarted() || !this->exchange->IsCallerGone()) return;
+	if (this->concluded || this->exchange->IsStarted() || !this->exchange->IsCallerDisconnected()) return;
 	auto closed = this->exchange->on_closed;
 	if (closed) closed();
 }
 
-void Call::Note(std::string text)
+void Call::Trace(std::string text)
 {
-	this->instance.ring.Add(this->request_name, MonotonicNow(), std::move(text));
+	this->instance.traces.Add(this->request_name, MonotonicNow(), std::move(text));
 }
 
-void Call::EndSend(SendEnd end)
+void Call::FinishSend(SendOutcome end)
 {
 	this->sent = false;
-	this->instance.Carry(this->instance.dispatcher.OnSendEnded(this->spec.id, end, MonotonicNow()));
+	this->instance.Execute(this->instance.dispatcher.OnSendEnded(this->spec.id, end, MonotonicNow()));
 }
 
 void Call::Fail(const CallFailure &failure)
 {
-	if (this->over) return;
+	if (this->concluded) return;
 	HttpHeaders headers{{"content-type", "application/json"},
-	                    {"Cottonspool-Ran", RanStateName(failure.ran)},
+	                    {"Cottonspool-Ran", ExecutionStateName(failure.ran)},
 	                    {"Cottonspool-Request", this->request_name}};
 	if (failure.retry_after) {
 		headers.push_back({"Retry-After", std::to_string(static_cast<int>(std::ceil(Seconds(*failure.retry_after))))});
 	}
-	this->Note("answered " + std::to_string(failure.status) + " " + failure.reason + " ran=" + RanStateName(failure.ran));
-	std::string body = FailureBody(failure, this->request_name);
+	this->Trace("answered " + std::to_string(failure.status) + " " + failure.reason + " ran=" + ExecutionStateName(failure.ran));
+	std::string body = FormatFailureBody(failure, this->request_name);
 	this->exchange->Respond(failure.status, headers, body);
 	this->Conclude(failure.ran, failure.status, "application/json", "");
 }
 
-void Call::Conclude(RanState ran, int status, const std::string &content_type, const std::string &body)
+void Call::Conclude(ExecutionState ran, int status, const std::string &content_type, const std::string &body)
 {
-	if (this->over) return;
-	this->over = true;
+	if (this->concluded) return;
+	this->concluded = true;
 	this->exchange->on_closed = nullptr;
-	this->instance.metrics.Count(std::string("cottonspool_answers_total{ran=\"") + RanStateName(ran) + "\"}");
+	this->instance.metrics.Count(std::string("cottonspool_answers_total{ran=\"") + ExecutionStateName(ran) + "\"}");
 	this->SettleClaim(ran, status, content_type, body);
-	this->instance.OnCallOver(this->spec.id);
+	this->instance.OnCallFinished(this->spec.id);
 }
 
-void Call::SettleClaim(RanState ran, int status, const std::string &content_type, const std::string &body)
+void Call::SettleClaim(ExecutionState ran, int status, const std::string &content_type, const std::string &body)
 {
-	if (this->claim_version.empty() || ran == RanState::Unknown) return;
-	ClaimRow row{.state = ran == RanState::Yes ? ClaimState::Done : ClaimState::Released, .nonce = this->claim_nonce};
+	if (this->claim_version.empty() || ran == ExecutionState::Unknown) return;
+	ClaimRow row{.state = ran == ExecutionState::Yes ? ClaimState::Done : ClaimState::Released, .nonce = this->claim_nonce};
 	row.request_hash = this->request_hash;
 	row.version = this->claim_version;
 	row.status = status;
--- a/src/instance/call_base.h
+++ b/src/instance/call_base.h
@@ -14,11 +14,11 @@
 
 /** A refusal or an error as told to the caller. */
 struct CallFailure {
-	int status = 503;                    ///< HTTP status.
-	std::string reason;                  ///< Short name of the reason.
-	std::string message;                 ///< What was wrong, and what would be allowed.
-	RanState ran = RanState::No;         ///< Whether the request was run.
-	std::optional<Duration> retry_after; ///< When coming back helps.
+	int status = 503;                        ///< HTTP status.
+	std::string reason;                      ///< Short name of the reason.
+	std::string message;                     ///< What was wrong, and what would be allowed.
+	ExecutionState ran = ExecutionState::No; ///< Whether the request was run.
+	std::optional<Duration> retry_after;     ///< When coming back helps.
 };
 
 /** One caller's request from its arrival to its final answer. */
@@ -34,13 +34,13 @@
 	virtual void OnSend(const SendAction &action) = 0;
 
 	/** The dispatcher says: give it up. */
-	void OnGiveUp(const GiveUpAction &action);
+	void OnReject(const RejectAction &action);
 
 	/** Some time has passed. */
 	virtual void OnTick(TimePoint now);
 
 	/** @return Whether the final answer has been given, or the caller is gone. */
-	bool IsOver() const { return this->over; }
+	bool IsConcluded() const { return this->concluded; }
 
 	/** @return What the dispatcher knows of it. */
 	const CallSpec &Spec() const { return this->spec; }
@@ -53,22 +53,22 @@
 	void Fail(const CallFailure &failure);
 
 	/** The final answer has been given: forget the call and settle its claim. */
-	void Conclude(RanState ran, int status, const std::string &content_type, const std::string &body);
+	void Conclude(ExecutionState ran, int status, const std::string &content_type, const std::string &body);
 
 	/** The caller went away: let go of everything. */
-	virtual void OnCallerGone() = 0;
+	virtual void OnCallerDisconnected() = 0;
 
 	/** Note a step for `explain`. */
-	void Note(std::string text);
+	void Trace(std::string text);
 
 	/** Tell the dispatcher how the send ended, and carry out what it decides. */
-	void EndSend(SendEnd end);
+	void FinishSend(SendOutcome end);
 
 	/** A send ended in doubt: no later refusal may say that it was not run. */
-	void MarkDoubtful() { this->doubtful = true; }
+	void MarkOutcomeUnknown() { this->outcome_unknown = true; }
 
 	/** @return "no" unless an earlier send ended in doubt. */
-	RanState RanSoFar() const { return this->doubtful ? RanState::Unknown : RanState::No; }
+	ExecutionState CurrentExecutionState() const { return this->outcome_unknown ? ExecutionState::Unknown : ExecutionState::No; }
 
 	Instance &instance;                     ///< Instance.
 	std::shared_ptr<HttpExchange> exchange; ///< Caller.
@@ -77,17 +77,17 @@
 	std::string account_name;               ///< Client account.
 	bool submitted = false;                 ///< The dispatcher has it.
 	bool sent = false;                      ///< A target has, or may have, got it.
-	bool over = false;                      ///< Final answer given, or caller gone.
-	bool doubtful = false;                  ///< Some send ended in doubt.
+	bool concluded = false;                 ///< Final answer given, or caller gone.
+	bool outcome_unknown = false;           ///< Some send ended in doubt.
 	TimePoint sent_at;                      ///< When it was last sent.
 
 private:
 	void BeginClaim();
 	void Submit();
-	void WatchCaller();
+	void InstallCloseHandler();
 
 	/** Record what became of our claim, if there is one and it is known. */
-	void SettleClaim(RanState ran, int status, const std::string &content_type, const std::string &body);
+	void SettleClaim(ExecutionState ran, int status, const std::string &content_type, const std::string &body);
 
 	std::string claim_version; ///< Version of our claim's row; empty when there is none.
 	std::string claim_nonce;   ///< Nonce of our claim.
--- a/src/instance/call_trace.cpp
+++ b/src/instance/call_trace.cpp
@@ -6,7 +6,7 @@
 
 namespace cottonspool {
 
-void EventRing::Add(const std::string &request, TimePoint at, std::string text)
+void CallTraceBuffer::Add(const std::string &request, TimePoint at, std::string text)
 {
 	if (this->max_calls == 0) return;
 	auto [found, added] = this->events.try_emplace(request);
@@ -20,10 +20,10 @@
 	if (found->second.size() < MAX_EVENTS) found->second.push_back({at, std::move(text)});
 }
 
-std::vector<CallEvent> EventRing::Find(const std::string &request) const
+std::vector<TraceEvent> CallTraceBuffer::Find(const std::string &request) const
 {
 	auto found = this->events.find(request);
-	return found == this->events.end() ? std::vector<CallEvent>{} : found->second;
+	return found == this->events.end() ? std::vector<TraceEvent>{} : found->second;
 }
 
 } // namespace cottonspool
--- a/src/instance/claim_store.cpp
+++ b/src/instance/claim_store.cpp
@@ -40,7 +40,7 @@
 	return row;
 }
 
-void ClaimStore::Make(const std::string &key, const std::string &nonce, uint64_t request_hash, ClaimDone done)
+void ClaimStore::Acquire(const std::string &key, const std::string &nonce, uint64_t request_hash, ClaimDone done)
 {
 	this->Advance(key, std::make_shared<Claim>(nonce, request_hash), done);
 }
@@ -74,13 +74,13 @@
 
 void ClaimStore::Settle(const std::string &key, ClaimRow row)
 {
-	if (row.body.size() > MAX_RECORDED_BODY) row.body.clear();
+	if (row.body.size() > MAX_RECORDED_BODY_BYTES) row.body.clear();
 	this->TrySettle({key, std::move(row)});
 }
 
 void ClaimStore::TrySettle(Settlement settlement)
 {
-	this->settling++;
+	this->settles_in_flight++;
 	if (!settlement.row.version.empty()) {
 		std::string version = settlement.row.version;
 		return this->WriteSettlement(std::move(settlement), version);
@@ -88,17 +88,17 @@
 	std::string key = settlement.key;
 	this->platform.ReadRow(key, [this, settlement = std::move(settlement)](Result<PlatformRow> found) mutable {
 		if (!found) {
-			this->settling--;
+			this->settles_in_flight--;
 			this->unsettled.push_back(std::move(settlement));
 			return;
 		}
 		ClaimRow row = ParseClaim(found.value().value, found.value().version);
 		bool ours = !row.version.empty() && row.nonce == settlement.row.nonce && row.state == ClaimState::Taken;
 		if (ours) return this->WriteSettlement(std::move(settlement), row.version);
-		this->settling--;
+		this->settles_in_flight--;
 		// A row that is not there yet may still appear from a write in doubt: look again for a while.
-		bool look_again = row.version.empty() && settlement.row.state == ClaimState::Released && settlement.tries < 10;
-		if (look_again) this->unsettled.push_back(std::move(settlement));
+		bool retry = row.version.empty() && settlement.row.state == ClaimState::Released && settlement.tries < 10;
+		if (retry) this->unsettled.push_back(std::move(settlement));
 	});
 }
 
@@ -107,7 +107,7 @@
 	std::string text = FormatClaim(settlement.row);
 	std::string key = settlement.key;
 	this->platform.ReplaceRow(key, text, version, [this, settlement = std::move(settlement)](const WriteOutcome &outcome) mutable {
-		this->settling--;
+		this->settles_in_flight--;
 		if (outcome.result == WriteResult::Done) return;
 		settlement.row.version.clear();
 		this->unsettled.push_back(std::move(settlement));
--- a/src/instance/claim_store.h
+++ b/src/instance/claim_store.h
@@ -19,7 +19,7 @@
 	explicit ClaimStore(Platform &platform) : platform(platform) {}
 
 	/** Claim \a key with \a nonce for the request with \a request_hash. */
-	void Make(const std::string &key, const std::string &nonce, uint64_t request_hash, ClaimDone done);
+	void Acquire(const std::string &key, const std::string &nonce, uint64_t request_hash, ClaimDone done);
 
 	/** Record what became of the claim \a nonce of \a key: Done with its answer, or Released. Tried until the table answers. */
 	void Settle(const std::string &key, ClaimRow row);
@@ -28,9 +28,9 @@
 	void OnTick();
 
 	/** @return Claims that could not be settled yet. */
-	size_t Unsettled() const { return this->unsettled.size() + this->settling; }
+	size_t Unsettled() const { return this->unsettled.size() + this->settles_in_flight; }
 
-	static constexpr size_t MAX_RECORDED_BODY = 64U << 10; ///< Largest answer recorded; a larger one is recorded without its body.
+	static constexpr size_t MAX_RECORDED_BODY_BYTES = 64U << 10; ///< Largest answer recorded; a larger one is recorded without its body.
 
 private:
 	/** A claim to settle. */
@@ -49,7 +49,7 @@
 
 	Platform &platform;               ///< Table.
 	std::deque<Settlement> unsettled; ///< To be tried again.
-	size_t settling = 0;              ///< Being tried.
+	size_t settles_in_flight = 0;     ///< Being tried.
 };
 
 /** @return \a row as written to the table. */
--- a/src/instance/completion_request.cpp
+++ b/src/instance/completion_request.cpp
@@ -11,14 +11,14 @@
 
 using Json = nlohmann::json;
 
-static constexpr size_t PREFIX_CHARACTERS = 256;    ///< Beginning of the prompt whose hash stands for a cached prefix.
-static constexpr size_t CHARACTERS_PER_TOKEN = 4;   ///< For the estimate of the prompt's length.
-static constexpr uint32_t MAX_MAX_TOKENS = 1000000; ///< Largest max_tokens taken.
+static constexpr size_t PREFIX_CHARACTERS = 256;      ///< Beginning of the prompt whose hash stands for a cached prefix.
+static constexpr size_t CHARACTERS_PER_TOKEN = 4;     ///< For the estimate of the prompt's length.
+static constexpr uint32_t MAX_TOKENS_LIMIT = 1000000; ///< Largest max_tokens taken.
 
 /** @return A failure for bad input: nothing was run. */
-static CallFailure BadInput(const std::string &field, const std::string &what)
+static CallFailure InvalidField(const std::string &field, const std::string &what)
 {
-	return CallFailure{400, "bad-" + field, field + ": " + what, RanState::No, std::nullopt};
+	return CallFailure{400, "bad-" + field, field + ": " + what, ExecutionState::No, std::nullopt};
 }
 
 /** Read the prompt or the messages. */
@@ -27,16 +27,16 @@
 	std::string prompt;
 	if (request->chat) {
 		if (!body.contains("messages") || !body["messages"].is_array() || body["messages"].empty()) {
-			return BadInput("messages", "must be an array with at least one message");
+			return InvalidField("messages", "must be an array with at least one message");
 		}
 		for (const Json &message : body["messages"]) {
 			if (!message.is_object() || !message.contains("role") || !message["role"].is_string()) {
-				return BadInput("messages", "each must be an object with a role");
+				return InvalidField("messages", "each must be an object with a role");
 			}
 		}
 		prompt = body["messages"].dump();
 	} else {
-		if (!body.contains("prompt") || !body["prompt"].is_string()) return BadInput("prompt", "must be a text");
+		if (!body.contains("prompt") || !body["prompt"].is_string()) return InvalidField("prompt", "must be a text");
 		prompt = body["prompt"].get<std::string>();
 	}
 	request->prompt_tokens = static_cast<uint32_t>(std::max<size_t>(1, prompt.size() / CHARACTERS_PER_TOKEN));
@@ -49,8 +49,8 @@
 {
 	for (const char *key : {"max_tokens", "max_completion_tokens"}) {
 		if (!body.contains(key) || body[key].is_null()) continue;
-		bool fits = body[key].is_number_unsigned() && body[key].get<uint64_t>() >= 1 && body[key].get<uint64_t>() <= MAX_MAX_TOKENS;
-		if (!fits) return BadInput(key, "must be a whole number from 1 to " + std::to_string(MAX_MAX_TOKENS));
+		bool fits = body[key].is_number_unsigned() && body[key].get<uint64_t>() >= 1 && body[key].get<uint64_t>() <= MAX_TOKENS_LIMIT;
+		if (!fits) return InvalidField(key, "must be a whole number from 1 to " + std::to_string(MAX_TOKENS_LIMIT));
 		request->max_tokens = body[key].get<uint32_t>();
 	}
 	return std::nullopt;
@@ -61,13 +61,13 @@
 	CompletionRequest parsed;
 	parsed.chat = request.path == "/v1/chat/completions";
 	Json body = Json::parse(request.body, nullptr, false);
-	if (body.is_discarded()) return BadInput("body", "is not JSON");
-	if (!body.is_object()) return BadInput("body", "must be a JSON object");
-	if (!body.contains("model") || !body["model"].is_string()) return BadInput("model", "must be a text");
+	if (body.is_discarded()) return InvalidField("body", "is not JSON");
+	if (!body.is_object()) return InvalidField("body", "must be a JSON object");
+	if (!body.contains("model") || !body["model"].is_string()) return InvalidField("model", "must be a text");
 	parsed.model = body["model"].get<std::string>();
-	if (body.contains("stream") && !body["stream"].is_boolean()) return BadInput("stream", "must be true or false");
+	if (body.contains("stream") && !body["stream"].is_boolean()) return InvalidField("stream", "must be true or false");
 	parsed.stream = body.value("stream", false);
-	if (body.contains("n") && body["n"] != 1) return BadInput("n", "must be 1: one request is one generation");
+	if (body.contains("n") && body["n"] != 1) return InvalidField("n", "must be 1: one request is one generation");
 	if (auto failure = ReadMaxTokens(body, &parsed)) return *failure;
 	if (auto failure = ReadPrompt(body, &parsed)) return *failure;
 	body["stream"] = true;
@@ -77,18 +77,18 @@
 	return parsed;
 }
 
-std::string EngineBody(const CompletionRequest &request, int priority)
+std::string FormatEngineBody(const CompletionRequest &request, int priority)
 {
 	return request.engine_body + ",\"priority\":" + std::to_string(priority) + "}";
 }
 
-std::optional<CompletionPiece> ParsePiece(const std::string &data)
+std::optional<CompletionChunk> ParseCompletionChunk(const std::string &data)
 {
 	Json chunk = Json::parse(data, nullptr, false);
 	if (!chunk.is_object() || !chunk.contains("choices") || !chunk["choices"].is_array() || chunk["choices"].empty()) return std::nullopt;
 	const Json &choice = chunk["choices"][0];
 	if (!choice.is_object()) return std::nullopt;
-	CompletionPiece piece;
+	CompletionChunk piece;
 	if (choice.contains("text") && choice["text"].is_string()) piece.text = choice["text"].get<std::string>();
 	if (choice.contains("delta") && choice["delta"].is_object()) {
 		const Json &delta = choice["delta"];
@@ -99,8 +99,8 @@
 	return piece;
 }
 
-std::string WholeAnswer(const CompletionRequest &request, const std::string &id, const std::string &text, const std::string &finish_reason,
-                        uint64_t tokens)
+std::string FormatCompletionAnswer(const CompletionRequest &request, const std::string &id, const std::string &text,
+                                   const std::string &finish_reason, uint64_t tokens)
 {
 	Json choice{{"index", 0}, {"finish_reason", finish_reason}};
 	if (request.chat) choice["message"] = {{"role", "assistant"}, {"content", text}};
@@ -120,19 +120,19 @@
 static Json FailureObject(const CallFailure &failure, const std::string &request_name)
 {
 	Json object{{"error", {{"type", failure.reason}, {"message", failure.message}}},
-	            {"cottonspool", {{"ran", RanStateName(failure.ran)}, {"complete", false}, {"request", request_name}}}};
+	            {"cottonspool", {{"ran", ExecutionStateName(failure.ran)}, {"complete", false}, {"request", request_name}}}};
 	if (failure.retry_after) object["cottonspool"]["retry_after_seconds"] = std::ceil(Seconds(*failure.retry_after) * 1000) / 1000;
 	return object;
 }
 
-std::string FailureBody(const CallFailure &failure, const std::string &request_name)
+std::string FormatFailureBody(const CallFailure &failure, const std::string &request_name)
 {
 	return FailureObject(failure, request_name).dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::string FailureEvent(const CallFailure &failure, const std::string &request_name)
+std::string FormatFailureEvent(const CallFailure &failure, const std::string &request_name)
 {
-	return "event: error\ndata: " + FailureBody(failure, request_name) + "\n\n";
+	return "event: error\ndata: " + FormatFailureBody(failure, request_name) + "\n\n";
 }
 
 } // namespace cottonspool
--- a/src/instance/completion_request.h
+++ b/src/instance/completion_request.h
@@ -24,25 +24,25 @@
 outcome::basic_result<CompletionRequest, CallFailure, outcome::policy::terminate> ParseCompletion(const HttpRequest &request);
 
 /** @return \a request's body for an engine, with \a priority. */
-std::string EngineBody(const CompletionRequest &request, int priority);
+std::string FormatEngineBody(const CompletionRequest &request, int priority);
 
 /** Pieces of a stream's event that matter for a whole answer. */
-struct CompletionPiece {
+struct CompletionChunk {
 	std::string text;          ///< Text of the token.
 	std::string finish_reason; ///< Why it ended; empty while it goes on.
 };
 
 /** Read the data of one event of an engine's stream. @return Nothing when it is none. */
-std::optional<CompletionPiece> ParsePiece(const std::string &data);
+std::optional<CompletionChunk> ParseCompletionChunk(const std::string &data);
 
 /** @return A whole answer in the OpenAI form. */
-std::string WholeAnswer(const CompletionRequest &request, const std::string &id, const std::string &text, const std::string &finish_reason,
-                        uint64_t tokens);
+std::string FormatCompletionAnswer(const CompletionRequest &request, const std::string &id, const std::string &text,
+                                   const std::string &finish_reason, uint64_t tokens);
 
 /** @return The body of an answer for \a failure. */
-std::string FailureBody(const CallFailure &failure, const std::string &request_name);
+std::string FormatFailureBody(const CallFailure &failure, const std::string &request_name);
 
 /** @return The last event of a stream that ended early. */
-std::string FailureEvent(const CallFailure &failure, const std::string &request_name);
+std::string FormatFailureEvent(const CallFailure &failure, const std::string &request_name);
 
 } // namespace cottonspool
--- a/src/instance/configuration_manager.cpp
+++ b/src/instance/configuration_manager.cpp
@@ -20,7 +20,7 @@
 	return ENTRY_PREFIX + std::string(12 - std::min<size_t>(12, digits.size()), '0') + digits;
 }
 
-void ConfigurationKeeper::Boot()
+void ConfigurationManager::Bootstrap()
 {
 	this->platform.ReadObject(SNAPSHOT_KEY, [this](Result<PlatformRow> row) {
 		if (row && !row.value().version.empty()) {
@@ -30,12 +30,12 @@
 	});
 }
 
-void ConfigurationKeeper::Announce(std::vector<std::string> entries)
+void ConfigurationManager::NotifyChanged(std::vector<std::string> entries)
 {
-	this->changed(entries);
+	this->on_changed(entries);
 }
 
-bool ConfigurationKeeper::ApplyText(const std::string &text, uint64_t *counter)
+bool ConfigurationManager::ApplyEntryText(const std::string &text, uint64_t *counter)
 {
 	Result<Entry> entry = ParseEntry(text);
 	if (!entry || !this->state.Apply(entry.value())) return false;
@@ -49,7 +49,7 @@
 	return true;
 }
 
-void ConfigurationKeeper::PollThen(PollDone done)
+void ConfigurationManager::PollTable(PollDone done)
 {
 	TimePoint asked = MonotonicNow();
 	this->platform.ScanRows(ENTRY_PREFIX, EntryKey(this->state.Sequence()),
@@ -57,39 +57,39 @@
 		                        if (!rows) return done(false);
 		                        std::vector<std::string> applied;
 		                        for (const PlatformRow &row : rows.value()) {
-			                        if (this->ApplyText(row.value, &this->counters.from_table)) applied.push_back(row.value);
+			                        if (this->ApplyEntryText(row.value, &this->counters.from_table)) applied.push_back(row.value);
 		                        }
-		                        if (!applied.empty()) this->Announce(std::move(applied));
-		                        if (rows.value().size() >= Platform::SCAN_PAGE) return this->PollThen(done);
+		                        if (!applied.empty()) this->NotifyChanged(std::move(applied));
+		                        if (rows.value().size() >= Platform::SCAN_PAGE) return this->PollTable(done);
 		                        this->OnConfirmed(asked);
 		                        done(true);
 	                        });
 }
 
-void ConfigurationKeeper::Poll()
+void ConfigurationManager::Poll()
 {
 	if (this->polling) return;
 	this->polling = true;
-	this->PollThen([this](bool) { this->polling = false; });
+	this->PollTable([this](bool) { this->polling = false; });
 }
 
-bool ConfigurationKeeper::OnEntries(const std::vector<std::string> &entries)
+bool ConfigurationManager::OnEntries(const std::vector<std::string> &entries)
 {
 	std::vector<std::string> applied;
 	bool complete = true;
 	for (const std::string &text : entries) {
-		if (this->ApplyText(text, &this->counters.from_peers)) {
+		if (this->ApplyEntryText(text, &this->counters.from_peers)) {
 			applied.push_back(text);
 			continue;
 		}
 		Result<Entry> entry = ParseEntry(text);
 		if (entry && entry.value().sequence > this->state.Sequence() + 1) complete = false;
 	}
-	if (!applied.empty()) this->Announce(std::move(applied));
+	if (!applied.empty()) this->NotifyChanged(std::move(applied));
 	return complete;
 }
 
-void ConfigurationKeeper::OnSnapshot(const std::string &snapshot)
+void ConfigurationManager::OnSnapshot(const std::string &snapshot)
 {
 	Result<bool> moved = this->state.Load(snapshot);
 	if (!moved) {
@@ -100,10 +100,10 @@
 	this->recent.clear();
 	this->recent_bytes = 0;
 	malloc_trim(0);
-	this->Announce({});
+	this->NotifyChanged({});
 }
 
-PeerMessage ConfigurationKeeper::AnswerFetch(uint64_t after) const
+PeerMessage ConfigurationManager::MakeFetchReply(uint64_t after) const
 {
 	bool remembered = !this->recent.empty() && this->recent.front().first <= after + 1;
 	if (!remembered) return SnapshotMessage{this->state.Snapshot()};
@@ -114,57 +114,58 @@
 	return message;
 }
 
-void ConfigurationKeeper::Accept(const Change &change, ApplyDone done)
+void ConfigurationManager::Accept(const Change &change, ApplyDone done)
 {
-	this->AcceptRound(std::make_shared<Acceptance>(Acceptance{change, std::move(done)}));
+	this->RetryAccept(std::make_shared<PendingChange>(PendingChange{change, std::move(done)}));
 }
 
-void ConfigurationKeeper::AcceptRound(std::shared_ptr<Acceptance> acceptance)
+void ConfigurationManager::RetryAccept(std::shared_ptr<PendingChange> acceptance)
 {
 	if (acceptance->tries++ >= MAX_TRIES) {
-		ApplyEnd end = acceptance->doubtful ? ApplyEnd::Unknown : ApplyEnd::Failed;
+		ApplyOutcome end = acceptance->outcome_unknown ? ApplyOutcome::Unknown : ApplyOutcome::Failed;
 		return acceptance->done({end, 0, false, {}, "the table gave no clear answer; repeat with the same id"});
 	}
-	this->PollThen([this, acceptance](bool reached) {
-		if (reached) return this->AcceptAtHead(acceptance);
-		if (acceptance->doubtful) return this->AcceptRound(acceptance);
-		acceptance->done({ApplyEnd::Failed, 0, false, {}, "the table cannot be reached; nothing was written"});
+	this->PollTable([this, acceptance](bool reached) {
+		if (reached) return this->ProposeChange(acceptance);
+		if (acceptance->outcome_unknown) return this->RetryAccept(acceptance);
+		acceptance->done({ApplyOutcome::Failed, 0, false, {}, "the table cannot be reached; nothing was written"});
 	});
 }
 
-void ConfigurationKeeper::AcceptAtHead(const std::shared_ptr<Acceptance> &acceptance)
+void ConfigurationManager::ProposeChange(const std::shared_ptr<PendingChange> &acceptance)
 {
 	const Change &change = acceptance->change;
 	if (auto accepted = this->state.FindAccepted(change.id)) {
-		return acceptance->done({ApplyEnd::Accepted, accepted->sequence, acceptance->tries == 1, {}, {}});
+		return acceptance->done({ApplyOutcome::Accepted, accepted->sequence, acceptance->tries == 1, {}, {}});
 	}
 	if (auto other = this->state.FindConflict(change)) {
 		this->counters.conflicts++;
-		return acceptance->done({ApplyEnd::Conflict, 0, false, *other, "changed meanwhile"});
+		return acceptance->done({ApplyOutcome::Conflict, 0, false, *other, "changed meanwhile"});
 	}
 	Result<void> valid = this->state.Validate(change, this->check_policy);
-	if (!valid) return acceptance->done({ApplyEnd::Invalid, 0, false, {}, valid.error().peer + ": " + valid.error().message});
+	if (!valid) return acceptance->done({ApplyOutcome::Invalid, 0, false, {}, valid.error().peer + ": " + valid.error().message});
 	Entry entry{this->state.Sequence() + 1, change};
 	std::string text = FormatEntry(entry);
 	this->platform.InsertRow(EntryKey(entry.sequence), text,
 	                         [this, acceptance, text](const WriteOutcome &outcome) { this->OnInserted(acceptance, text, outcome); });
 }
 
-void ConfigurationKeeper::OnInserted(const std::shared_ptr<Acceptance> &acceptance, const std::string &text, const WriteOutcome &outcome)
+void ConfigurationManager::OnInserted(const std::shared_ptr<PendingChange> &acceptance, const std::string &text,
+                                      const WriteOutcome &outcome)
 {
-	if (outcome.result == WriteResult::Unknown) acceptance->doubtful = true;
+	if (outcome.result == WriteResult::Unknown) acceptance->outcome_unknown = true;
 	// Not done, taken by another, or in doubt: look at the rows again; our change is found there by its id if it took effect.
-	if (outcome.result != WriteResult::Done) return this->AcceptRound(acceptance);
+	if (outcome.result != WriteResult::Done) return this->RetryAccept(acceptance);
 	Result<Entry> entry = ParseEntry(text);
 	this->counters.accepted++;
-	if (this->ApplyText(text, &this->counters.from_table)) this->Announce({text});
+	if (this->ApplyEntryText(text, &this->counters.from_table)) this->NotifyChanged({text});
 	Log(LogLevel::Info, "change-accepted",
 	    {{"change", acceptance->change.id}, {"author", acceptance->change.author}, {"sequence", std::to_string(entry.value().sequence)}});
-	acceptance->done({ApplyEnd::Accepted, entry.value().sequence, false, {}, {}});
-	this->MaybeSnapshot();
+	acceptance->done({ApplyOutcome::Accepted, entry.value().sequence, false, {}, {}});
+	this->WriteSnapshotIfDue();
 }
 
-void ConfigurationKeeper::MaybeSnapshot()
+void ConfigurationManager::WriteSnapshotIfDue()
 {
 	if (this->state.Sequence() % static_cast<uint64_t>(this->snapshot_every) != 0) return;
 	uint64_t sequence = this->state.Sequence();
--- a/src/instance/configuration_manager.h
+++ b/src/instance/configuration_manager.h
@@ -12,7 +12,7 @@
 namespace cottonspool {
 
 /** How an operator's change ended. */
-enum class ApplyEnd : uint8_t {
+enum class ApplyOutcome : uint8_t {
 	Accepted, ///< It is in the order; see the sequence.
 	Conflict, ///< Another change came between; see the other change.
 	Invalid,  ///< It was refused; see the error.
@@ -22,11 +22,11 @@
 
 /** Result of an operator's change. */
 struct ApplyResult {
-	ApplyEnd end = ApplyEnd::Unknown; ///< How it ended.
-	uint64_t sequence = 0;            ///< Place, when accepted.
-	bool repeated = false;            ///< It had been accepted before.
-	AcceptedChange other;             ///< The other change, on a conflict.
-	std::string message;              ///< The error, when it was refused.
+	ApplyOutcome end = ApplyOutcome::Unknown; ///< How it ended.
+	uint64_t sequence = 0;                    ///< Place, when accepted.
+	bool repeated = false;                    ///< It had been accepted before.
+	AcceptedChange other;                     ///< The other change, on a conflict.
+	std::string message;                      ///< The error, when it was refused.
 };
 
 /** Counters of the keeper. */
@@ -42,18 +42,18 @@
  * The log of entries is a run of rows "config/entry/N". A change is accepted by inserting the next row if it is absent, so the
  * table orders racing operators; a lost answer is settled by looking for the change's id in the rows that are there.
  */
-class ConfigurationKeeper {
+class ConfigurationManager {
 public:
-	using Changed = std::function<void(const std::vector<std::string> &new_entries)>;
+	using ChangeHandler = std::function<void(const std::vector<std::string> &new_entries)>;
 	using ApplyDone = std::function<void(const ApplyResult &)>;
 
-	ConfigurationKeeper(Platform &platform, int64_t snapshot_every, PolicyCheck check_policy, Changed changed)
-	    : platform(platform), snapshot_every(snapshot_every), check_policy(std::move(check_policy)), changed(std::move(changed))
+	ConfigurationManager(Platform &platform, int64_t snapshot_every, PolicyCheck check_policy, ChangeHandler on_changed)
+	    : platform(platform), snapshot_every(snapshot_every), check_policy(std::move(check_policy)), on_changed(std::move(on_changed))
 	{
 	}
 
 	/** Read the snapshot, then the tail. */
-	void Boot();
+	void Bootstrap();
 
 	/** Look for newer entries in the table. */
 	void Poll();
@@ -65,7 +65,7 @@
 	void OnSnapshot(const std::string &snapshot);
 
 	/** @return What a peer that has \a after is to be sent: entries, or the whole when they are no longer remembered. */
-	PeerMessage AnswerFetch(uint64_t after) const;
+	PeerMessage MakeFetchReply(uint64_t after) const;
 
 	/** Try to have \a change accepted. */
 	void Accept(const Change &change, ApplyDone done);
@@ -84,22 +84,22 @@
 
 private:
 	/** A change on its way to acceptance. */
-	struct Acceptance {
-		Change change;         ///< The change.
-		ApplyDone done;        ///< Gets the result.
-		int tries = 0;         ///< Rounds so far.
-		bool doubtful = false; ///< Some write may have taken effect.
+	struct PendingChange {
+		Change change;                ///< The change.
+		ApplyDone done;               ///< Gets the result.
+		int tries = 0;                ///< Rounds so far.
+		bool outcome_unknown = false; ///< Some write may have taken effect.
 	};
 
 	using PollDone = std::function<void(bool)>;
 
-	void PollThen(PollDone done);
-	bool ApplyText(const std::string &text, uint64_t *counter);
-	void AcceptRound(std::shared_ptr<Acceptance> acceptance);
-	void AcceptAtHead(const std::shared_ptr<Acceptance> &acceptance);
-	void OnInserted(const std::shared_ptr<Acceptance> &acceptance, const std::string &text, const WriteOutcome &outcome);
-	void MaybeSnapshot();
-	void Announce(std::vector<std::string> entries);
+	void PollTable(PollDone done);
+	bool ApplyEntryText(const std::string &text, uint64_t *counter);
+	void RetryAccept(std::shared_ptr<PendingChange> acceptance);
+	void ProposeChange(const std::shared_ptr<PendingChange> &acceptance);
+	void OnInserted(const std::shared_ptr<PendingChange> &acceptance, const std::string &text, const WriteOutcome &outcome);
+	void WriteSnapshotIfDue();
+	void NotifyChanged(std::vector<std::string> entries);
 
 	static constexpr size_t MAX_RECENT = 512;              ///< Entries remembered for peers.
 	static constexpr size_t MAX_RECENT_BYTES = 256U << 10; ///< Most bytes of them.
@@ -108,7 +108,7 @@
 	Platform &platform;                                  ///< Table and objects.
 	int64_t snapshot_every;                              ///< Entries between snapshots.
 	PolicyCheck check_policy;                            ///< Checks policies.
-	Changed changed;                                     ///< Told of every movement.
+	ChangeHandler on_changed;                            ///< Told of every movement.
 	ConfigurationState state;                            ///< Configuration in force.
 	std::deque<std::pair<uint64_t, std::string>> recent; ///< Last entries, for peers.
 	size_t recent_bytes = 0;                             ///< Bytes of the last entries.
--- a/src/instance/instance.cpp
+++ b/src/instance/instance.cpp
@@ -11,13 +11,13 @@
 
 namespace cottonspool {
 
-static constexpr uint64_t TICK_MS = 20;                                   ///< Time between ticks.
-static constexpr Duration CALL_TICK = std::chrono::milliseconds(100);     ///< Time between looks at all calls.
-static constexpr Duration FETCH_PAUSE = std::chrono::milliseconds(300);   ///< Least time between fetches from peers.
-static constexpr size_t NEWS_PER_HEARTBEAT = 6;                           ///< Other members told of in one heartbeat.
-static constexpr Duration HEARTBEAT_SOON = std::chrono::milliseconds(50); ///< Delay of a heartbeat that something new calls for.
-static constexpr size_t HEARTBEATS_REMEMBERED = 64;                       ///< Own heartbeats whose times are remembered.
-static constexpr size_t DRAIN_POLICY_TARGETS = 64;                        ///< Most targets that the drain policy is asked about a second.
+static constexpr uint64_t TICK_MS = 20;                                           ///< Time between ticks.
+static constexpr Duration CALL_TICK_INTERVAL = std::chrono::milliseconds(100);    ///< Time between looks at all calls.
+static constexpr Duration MIN_FETCH_INTERVAL = std::chrono::milliseconds(300);    ///< Least time between fetches from peers.
+static constexpr size_t UPDATES_PER_HEARTBEAT = 6;                                ///< Other members told of in one heartbeat.
+static constexpr Duration PROMPT_HEARTBEAT_DELAY = std::chrono::milliseconds(50); ///< Delay of a heartbeat that something new calls for.
+static constexpr size_t HEARTBEATS_REMEMBERED = 64;                               ///< Own heartbeats whose times are remembered.
+static constexpr size_t DRAIN_POLICY_TARGETS = 64; ///< Most targets that the drain policy is asked about a second.
 
 /** The tick's timer. */
 struct Instance::Timer {
@@ -32,7 +32,7 @@
 }
 
 /** @return Milliseconds since the epoch; grows with each start of an instance of the same name. */
-static uint64_t StartNumber()
+static uint64_t NewIncarnationNumber()
 {
 	auto now = std::chrono::system_clock::now().time_since_epoch();
 	return static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
@@ -40,25 +40,25 @@
 
 Instance::Instance(uv_loop_s *loop, Settings given)
     : settings(std::move(given)), client(loop), metrics(static_cast<size_t>(this->settings.account_series)),
-      ring(static_cast<size_t>(this->settings.explain_calls)),
+      traces(static_cast<size_t>(this->settings.explain_calls)),
       dispatcher(this->settings.dispatch, MakeRouter(this->settings.router, HashText(this->settings.name))),
       platform(this->client, this->settings.platform_url, this->settings.platform_call), claims(this->platform),
-      watch(this->client, this->dispatcher.Targets(), this->models,
-            [this](TargetNumber target, const LoadReport &report) { this->OnReport(target, report); }),
+      poller(this->client, this->dispatcher.Targets(), this->models,
+             [this](TargetNumber target, const LoadReport &report) { this->OnReport(target, report); }),
       configuration(
               this->platform, this->settings.snapshot_every,
               [](const PolicyRecord &record) -> Result<void> {
 	              PolicyEngine trial({});
 	              BOOST_OUTCOME_TRYV(trial.Load(record.program));
-	              BOOST_OUTCOME_TRYV(trial.Try());
+	              BOOST_OUTCOME_TRYV(trial.DryRun());
 	              return outcome::success();
               },
               [this](const std::vector<std::string> &entries) { this->OnConfigurationChanged(entries); }),
       loop(loop), server(loop, this->settings.http, [this](const std::shared_ptr<HttpExchange> &exchange) { this->Handle(exchange); }),
-      policy({}), membership({this->settings.name, this->settings.hall, "", StartNumber()}, this->settings.member_timeout),
+      policy({}), membership({this->settings.name, this->settings.hall, "", NewIncarnationNumber()}, this->settings.member_timeout),
       peers(loop, [this](const PeerMessage &message, const PeerLinks::Reply &reply) { this->OnPeerMessage(message, reply); }),
-      orders(this->client, this->platform, this->watch, this->settings.hall, this->settings.name + "#" + std::to_string(StartNumber()),
-             this->settings.lease),
+      orders(this->client, this->platform, this->poller, this->settings.hall,
+             this->settings.name + "#" + std::to_string(NewIncarnationNumber()), this->settings.lease),
       random(RandomSeed()), timer(std::make_unique<Timer>())
 {
 }
@@ -74,8 +74,8 @@
 	    {{"hall", this->settings.hall},
 	     {"http", this->settings.ip + ":" + std::to_string(http_port)},
 	     {"peers", this->membership.self.address}});
-	this->peers.on_link_open = [this](const std::string &) { this->HeartbeatSoon(MonotonicNow()); };
-	this->configuration.Boot();
+	this->peers.on_link_open = [this](const std::string &) { this->ScheduleHeartbeat(MonotonicNow()); };
+	this->configuration.Bootstrap();
 	uv_timer_init(this->loop, &this->timer->timer);
 	this->timer->timer.data = this;
 	uv_timer_start(
@@ -96,12 +96,12 @@
 	return confirmed != TimePoint{} && MonotonicNow() - confirmed <= this->settings.configuration_stale;
 }
 
-void Instance::Carry(Decisions decisions)
+void Instance::Execute(Decisions decisions)
 {
-	this->carrier.Carry(std::move(decisions));
+	this->carrier.Execute(std::move(decisions));
 }
 
-void Instance::OnCallOver(CallId call)
+void Instance::OnCallFinished(CallId call)
 {
 	this->calls.erase(call);
 }
@@ -110,7 +110,7 @@
 {
 	const ConfigurationState &state = this->configuration.State();
 	this->membership.self.sequence = state.Sequence();
-	this->watch.Configure(state, this->settings.name, this->settings.hall, static_cast<size_t>(this->settings.targets_watched));
+	this->poller.Configure(state, this->settings.name, this->settings.hall, static_cast<size_t>(this->settings.targets_watched));
 	auto found = state.Policies().find("default");
 	std::string program = found == state.Policies().end() ? "" : found->second.record.program;
 	if (program != this->policy_program) {
@@ -118,44 +118,44 @@
 		if (!loaded) Log(LogLevel::Error, "policy-refused", {{"error", loaded.error().message}});
 		this->policy_program = program;
 	}
-	for (uint32_t i = 0; i < this->dispatcher.Targets().Size(); i++) this->RefreshLeaving(TargetNumber{i});
+	for (uint32_t i = 0; i < this->dispatcher.Targets().Size(); i++) this->UpdateDraining(TargetNumber{i});
 	Log(LogLevel::Info, "configuration",
 	    {{"sequence", std::to_string(state.Sequence())}, {"targets", std::to_string(state.Targets().size())}});
 	if (!entries.empty()) this->peers.Broadcast(EntriesMessage{entries});
 }
 
-void Instance::RefreshLeaving(TargetNumber number)
+void Instance::UpdateDraining(TargetNumber number)
 {
 	TargetTable &targets = this->dispatcher.Targets();
 	const TargetState &target = targets.Get(number);
 	auto record = this->configuration.State().Targets().find(target.name);
-	bool leaving = record != this->configuration.State().Targets().end() && record->second.record.wish == TargetWish::Leaving;
-	leaving = leaving || target.report.leaving || this->listed_leaving.contains(target.name);
+	bool draining = record != this->configuration.State().Targets().end() && record->second.record.desired_state == DesiredState::Leaving;
+	draining = draining || target.report.draining || this->listed_draining.contains(target.name);
 	for (const std::string &incarnation : {target.report.incarnation, std::string()}) {
-		leaving = leaving || this->membership.Leaving().contains({target.name, incarnation});
+		draining = draining || this->membership.Leaving().contains({target.name, incarnation});
 	}
-	if (leaving == target.bounds.leaving) return;
-	if (leaving) targets.MarkLeaving(number);
-	if (!leaving) targets.ClearLeaving(number);
-	Log(LogLevel::Info, leaving ? "target-leaving" : "target-back", {{"target", target.name}});
+	if (draining == target.restrictions.draining) return;
+	if (draining) targets.MarkDraining(number);
+	if (!draining) targets.ClearDraining(number);
+	Log(LogLevel::Info, draining ? "target-leaving" : "target-back", {{"target", target.name}});
 }
 
-void Instance::NoteLeaving(const LeavingTarget &leaving, const char *source)
+void Instance::AddDrainNotice(const DrainingTarget &draining, const char *source)
 {
-	if (!this->membership.AddLeaving(leaving)) return;
-	Log(LogLevel::Info, "leaving-notice", {{"target", leaving.target}, {"incarnation", leaving.incarnation}, {"source", source}});
-	auto number = this->dispatcher.Targets().Find(leaving.target);
-	if (number) this->RefreshLeaving(*number);
+	if (!this->membership.AddDraining(draining)) return;
+	Log(LogLevel::Info, "leaving-notice", {{"target", draining.target}, {"incarnation", draining.incarnation}, {"source", source}});
+	auto number = this->dispatcher.Targets().Find(draining.target);
+	if (number) this->UpdateDraining(*number);
 	// A notice is told at once; heartbeats repeat it.
-	this->peers.Broadcast(HeartbeatMessage{{this->membership.self}, {leaving}, std::chrono::hours(1), {}});
+	this->peers.Broadcast(HeartbeatMessage{{this->membership.self}, {draining}, std::chrono::hours(1), {}});
 }
 
 void Instance::OnReport(TargetNumber target, const LoadReport &report)
 {
 	Decisions decisions = this->dispatcher.OnReport(target, report, MonotonicNow());
-	if (report.leaving) this->NoteLeaving({this->dispatcher.Targets().Get(target).name, report.incarnation}, "own-notice");
-	this->RefreshLeaving(target);
-	this->Carry(std::move(decisions));
+	if (report.draining) this->AddDrainNotice({this->dispatcher.Targets().Get(target).name, report.incarnation}, "own-notice");
+	this->UpdateDraining(target);
+	this->Execute(std::move(decisions));
 }
 
 void Instance::OnPeerMessage(const PeerMessage &message, const PeerLinks::Reply &reply)
@@ -163,7 +163,7 @@
 	TimePoint now = MonotonicNow();
 	if (auto heartbeat = std::get_if<HeartbeatMessage>(&message)) return this->OnHeartbeat(*heartbeat, reply, now);
 	if (auto fetch = std::get_if<FetchMessage>(&message)) {
-		if (fetch->after < this->configuration.State().Sequence()) reply(this->configuration.AnswerFetch(fetch->after));
+		if (fetch->after < this->configuration.State().Sequence()) reply(this->configuration.MakeFetchReply(fetch->after));
 		return;
 	}
 	if (auto snapshot = std::get_if<SnapshotMessage>(&message)) return this->configuration.OnSnapshot(snapshot->snapshot);
@@ -176,14 +176,14 @@
 {
 	if (message.members.empty()) return;
 	bool new_member = false;
-	for (const MemberInfo &member : message.members) new_member |= this->membership.OnHeard(member, now);
-	if (new_member) this->HeartbeatSoon(now);
-	for (const LeavingTarget &leaving : message.leaving) this->NoteLeaving(leaving, "peer");
+	for (const MemberInfo &member : message.members) new_member |= this->membership.OnMemberInfo(member, now);
+	if (new_member) this->ScheduleHeartbeat(now);
+	for (const DrainingTarget &draining : message.draining) this->AddDrainNotice(draining, "peer");
 	const MemberInfo &sender = message.members.front();
-	this->heard[sender.name] = sender.counter;
+	this->received_counters[sender.name] = sender.counter;
 	uint64_t own = this->configuration.State().Sequence();
 	if (sender.sequence > own && now >= this->next_fetch) {
-		this->next_fetch = now + FETCH_PAUSE;
+		this->next_fetch = now + MIN_FETCH_INTERVAL;
 		reply(FetchMessage{own});
 	}
 	if (sender.sequence != own) return;
@@ -195,12 +195,12 @@
 	}
 }
 
-void Instance::HeartbeatSoon(TimePoint now)
+void Instance::ScheduleHeartbeat(TimePoint now)
 {
-	this->next_heartbeat = std::min(this->next_heartbeat, now + HEARTBEAT_SOON);
+	this->next_heartbeat = std::min(this->next_heartbeat, now + PROMPT_HEARTBEAT_DELAY);
 }
 
-Duration Instance::HeartbeatPeriod() const
+Duration Instance::HeartbeatInterval() const
 {
 	double bytes = static_cast<double>(this->heartbeat_bytes * this->peers.OpenLinks());
 	return std::max(this->settings.heartbeat, FromSeconds(bytes / static_cast<double>(this->settings.peer_bytes_per_second)));
@@ -214,33 +214,33 @@
 	this->heartbeat_times[self.counter] = now;
 	if (this->heartbeat_times.size() > HEARTBEATS_REMEMBERED) this->heartbeat_times.erase(this->heartbeat_times.begin());
 	HeartbeatMessage message;
-	message.members = this->membership.NextNews(NEWS_PER_HEARTBEAT);
-	message.leaving.assign(this->membership.Leaving().begin(), this->membership.Leaving().end());
+	message.members = this->membership.NextGossip(UPDATES_PER_HEARTBEAT);
+	message.draining.assign(this->membership.Leaving().begin(), this->membership.Leaving().end());
 	TimePoint confirmed = this->configuration.ConfirmedAt();
 	message.confirmed_age = confirmed == TimePoint{} ? Duration(std::chrono::hours(1)) : now - confirmed;
-	message.echoes.assign(this->heard.begin(), this->heard.end());
-	this->heard.clear();
+	message.echoes.assign(this->received_counters.begin(), this->received_counters.end());
+	this->received_counters.clear();
 	this->heartbeat_bytes = this->peers.Broadcast(message);
-	this->membership.SetPace(this->HeartbeatPeriod(), this->peers.OpenLinks(), NEWS_PER_HEARTBEAT);
+	this->membership.SetGossipPace(this->HeartbeatInterval(), this->peers.OpenLinks(), UPDATES_PER_HEARTBEAT);
 	std::vector<std::string> wanted;
-	for (const MemberInfo &member : this->membership.LinkTargets(now)) wanted.push_back(member.address);
+	for (const MemberInfo &member : this->membership.GossipPeers(now)) wanted.push_back(member.address);
 	for (const std::string &seed : this->settings.seeds) {
 		if (seed != self.address) wanted.push_back(seed);
 	}
 	this->peers.SetWanted(wanted);
 }
 
-void Instance::PollList()
+void Instance::PollInstanceList()
 {
 	this->platform.ListInstances([this](Result<std::vector<ListedInstance>> list) {
 		if (!list) return;
-		std::set<std::string> leaving;
+		std::set<std::string> draining;
 		for (const ListedInstance &item : list.value()) {
-			if (item.leaving) leaving.insert(item.name);
+			if (item.draining) draining.insert(item.name);
 		}
-		if (leaving == this->listed_leaving) return;
-		this->listed_leaving = std::move(leaving);
-		for (uint32_t i = 0; i < this->dispatcher.Targets().Size(); i++) this->RefreshLeaving(TargetNumber{i});
+		if (draining == this->listed_draining) return;
+		this->listed_draining = std::move(draining);
+		for (uint32_t i = 0; i < this->dispatcher.Targets().Size(); i++) this->UpdateDraining(TargetNumber{i});
 	});
 }
 
@@ -249,44 +249,44 @@
 	TargetTable &targets = this->dispatcher.Targets();
 	for (uint32_t i = 0; i < std::min<size_t>(targets.Size(), DRAIN_POLICY_TARGETS); i++) {
 		const TargetState &target = targets.Get(TargetNumber{i});
-		if (!target.bounds.known || !target.bounds.ready || target.bounds.leaving) continue;
+		if (!target.restrictions.known || !target.restrictions.ready || target.restrictions.draining) continue;
 		bool drain = this->policy.Drain({target.name, target.hall, targets.Pressure(target, MonotonicNow()), target.report.preemptions});
-		if (drain) this->NoteLeaving({target.name, target.report.incarnation}, "policy");
+		if (drain) this->AddDrainNotice({target.name, target.report.incarnation}, "policy");
 	}
 }
 
-void Instance::OnSecond(TimePoint now)
+void Instance::OnSecondTick(TimePoint now)
 {
 	this->claims.OnTick();
 	this->membership.Expire(now);
 	auto [rank, count] = this->membership.Rank(now);
 	this->dispatcher.Targets().SetInstances(rank, count);
 	this->RunDrainPolicy();
-	bool now_fresh = this->IsConfigurationFresh();
-	if (now_fresh != this->fresh)
-		Log(now_fresh ? LogLevel::Info : LogLevel::Warning, now_fresh ? "configuration-fresh" : "configuration-stale");
-	this->fresh = now_fresh;
+	bool is_fresh = this->IsConfigurationFresh();
+	if (is_fresh != this->was_fresh)
+		Log(is_fresh ? LogLevel::Info : LogLevel::Warning, is_fresh ? "configuration-fresh" : "configuration-stale");
+	this->was_fresh = is_fresh;
 	// A notice about an earlier start of a target says nothing of the present one.
 	TargetTable &targets = this->dispatcher.Targets();
-	std::vector<LeavingTarget> old;
-	for (const LeavingTarget &leaving : this->membership.Leaving()) {
-		auto number = targets.Find(leaving.target);
-		bool known = number && targets.Get(*number).bounds.known;
-		if (!known) old.push_back(leaving);
+	std::vector<DrainingTarget> old;
+	for (const DrainingTarget &draining : this->membership.Leaving()) {
+		auto number = targets.Find(draining.target);
+		bool known = number && targets.Get(*number).restrictions.known;
+		if (!known) old.push_back(draining);
 	}
-	for (const LeavingTarget &leaving : old) this->membership.RemoveLeaving(leaving.target);
+	for (const DrainingTarget &draining : old) this->membership.RemoveDraining(draining.target);
 }
 
 void Instance::OnTick()
 {
 	TimePoint now = MonotonicNow();
 	FlushLog();
-	this->Carry(this->dispatcher.OnTick(now));
-	this->watch.OnTick(now, this->settings.report_poll);
+	this->Execute(this->dispatcher.OnTick(now));
+	this->poller.OnTick(now, this->settings.report_poll);
 	if (!this->stopping) this->orders.OnTick(this->configuration.State(), this->random(), now);
 	if (now >= this->next_heartbeat) {
 		this->Heartbeat(now);
-		this->next_heartbeat = now + this->HeartbeatPeriod();
+		this->next_heartbeat = now + this->HeartbeatInterval();
 	}
 	if (now >= this->next_poll) {
 		this->next_poll = now + this->settings.head_poll / 2 +
@@ -295,49 +295,50 @@
 	}
 	if (now >= this->next_list) {
 		this->next_list = now + this->settings.list_poll;
-		this->PollList();
+		this->PollInstanceList();
 	}
 	if (now >= this->next_second) {
 		this->next_second = now + std::chrono::seconds(1);
-		this->OnSecond(now);
+		this->OnSecondTick(now);
 	}
 	if (now >= this->next_call_tick) {
-		this->next_call_tick = now + CALL_TICK;
+		this->next_call_tick = now + CALL_TICK_INTERVAL;
 		std::vector<std::shared_ptr<Call>> all;
 		all.reserve(this->calls.size());
 		for (const auto &[id, call] : this->calls) all.push_back(call);
 		for (const std::shared_ptr<Call> &call : all) call->OnTick(now);
 	}
-	if (this->stopping) this->FinishStopping(now);
+	if (this->stopping) this->AdvanceShutdown(now);
 }
 
 void Instance::Stop()
 {
 	TimePoint now = MonotonicNow();
 	if (this->stopping) {
-		this->stop_begun = now - this->settings.stop_limit - this->settings.stop_notice;
+		this->stop_started = now - this->settings.stop_limit - this->settings.stop_notice;
 		return;
 	}
 	this->stopping = true;
-	this->stop_begun = now;
+	this->stop_started = now;
 	this->orders.Resign();
 	this->next_heartbeat = now;
 	Log(LogLevel::Info, "stopping", {{"calls", std::to_string(this->calls.size())}});
 }
 
-void Instance::FinishStopping(TimePoint now)
+void Instance::AdvanceShutdown(TimePoint now)
 {
-	Duration since = now - this->stop_begun;
+	Duration since = now - this->stop_started;
 	if (this->listening && since >= this->settings.stop_notice) {
 		this->server.StopListening();
 		this->listening = false;
 	}
 	bool done = this->calls.empty() && this->claims.Unsettled() == 0 && !this->listening && this->server.Connections() == 0;
 	bool late = since >= this->settings.stop_limit + this->settings.stop_notice;
-	bool only_idle = this->calls.empty() && this->claims.Unsettled() == 0 && since >= this->settings.stop_notice + std::chrono::seconds(2);
-	if (!done && !late && !only_idle) return;
-	this->cut_calls = this->calls.size();
-	Log(LogLevel::Info, "stopped", {{"cut", std::to_string(this->cut_calls)}});
+	bool only_idle_connections =
+	        this->calls.empty() && this->claims.Unsettled() == 0 && since >= this->settings.stop_notice + std::chrono::seconds(2);
+	if (!done && !late && !only_idle_connections) return;
+	this->aborted_calls = this->calls.size();
+	Log(LogLevel::Info, "stopped", {{"cut", std::to_string(this->aborted_calls)}});
 	uv_timer_stop(&this->timer->timer);
 	this->peers.Shutdown();
 	this->client.Shutdown();
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -37,13 +37,13 @@
 	void Stop();
 
 	/** @return Calls cut by the end of the instance. */
-	size_t CutCalls() const { return this->cut_calls; }
+	size_t AbortedCalls() const { return this->aborted_calls; }
 
 	/** Carry out decisions of the dispatcher. */
-	void Carry(Decisions decisions);
+	void Execute(Decisions decisions);
 
 	/** The final answer of \a call has been given. */
-	void OnCallOver(CallId call);
+	void OnCallFinished(CallId call);
 
 	/** @return Whether the configuration was confirmed recently enough for calls that must not be repeated. */
 	bool IsConfigurationFresh() const;
@@ -54,17 +54,17 @@
 	/** @return The instance's state as JSON, for operators. */
 	std::string StatusJson() const;
 
-	Settings settings;                 ///< Settings.
-	HttpClient client;                 ///< Calls to other processes.
-	NameTable<ModelNumber> models;     ///< Numbers of models and services.
-	NameTable<AccountNumber> accounts; ///< Numbers of client accounts.
-	Metrics metrics;                   ///< Figures.
-	EventRing ring;                    ///< Steps of the last calls.
-	Dispatcher dispatcher;             ///< Decisions.
-	PlatformClient platform;           ///< Platform.
-	ClaimStore claims;                 ///< Claims of calls that must not be repeated.
-	TargetWatch watch;                 ///< Load reports.
-	ConfigurationKeeper configuration; ///< Configuration.
+	Settings settings;                  ///< Settings.
+	HttpClient client;                  ///< Calls to other processes.
+	NameTable<ModelNumber> models;      ///< Numbers of models and services.
+	NameTable<AccountNumber> accounts;  ///< Numbers of client accounts.
+	Metrics metrics;                    ///< Figures.
+	CallTraceBuffer traces;             ///< Steps of the last calls.
+	Dispatcher dispatcher;              ///< Decisions.
+	PlatformClient platform;            ///< Platform.
+	ClaimStore claims;                  ///< Claims of calls that must not be repeated.
+	TargetPoller poller;                ///< Load reports.
+	ConfigurationManager configuration; ///< Configuration.
 
 private:
 	void Handle(const std::shared_ptr<HttpExchange> &exchange);
@@ -75,7 +75,8 @@
 	void HandleApply(const std::shared_ptr<HttpExchange> &exchange);
 	void Reject(const std::shared_ptr<HttpExchange> &exchange, int status, const std::string &reason, const std::string &message);
 	const std::pair<const std::string, Versioned<AccountRecord>> *Authenticate(const std::shared_ptr<HttpExchange> &exchange);
-	bool FillSpec(const std::shared_ptr<HttpExchange> &exchange, const std::string &account, const AccountRecord &record, CallSpec *spec);
+	bool FillCallSpec(const std::shared_ptr<HttpExchange> &exchange, const std::string &account, const AccountRecord &record,
+	                  CallSpec *spec);
 	void ChooseHalls(const std::string &account, const std::string &name, uint64_t draw, CallSpec *spec);
 	void Begin(const std::shared_ptr<Call> &call, const std::shared_ptr<HttpExchange> &exchange, const std::string &account);
 	Duration WaitLimit(ServiceClass service_class) const;
@@ -85,16 +86,16 @@
 	void OnPeerMessage(const PeerMessage &message, const PeerLinks::Reply &reply);
 	void OnHeartbeat(const HeartbeatMessage &message, const PeerLinks::Reply &reply, TimePoint now);
 	void OnReport(TargetNumber target, const LoadReport &report);
-	void RefreshLeaving(TargetNumber target);
-	void NoteLeaving(const LeavingTarget &leaving, const char *source);
+	void UpdateDraining(TargetNumber target);
+	void AddDrainNotice(const DrainingTarget &draining, const char *source);
 	void Heartbeat(TimePoint now);
-	void HeartbeatSoon(TimePoint now);
-	Duration HeartbeatPeriod() const;
-	void PollList();
+	void ScheduleHeartbeat(TimePoint now);
+	Duration HeartbeatInterval() const;
+	void PollInstanceList();
 	void RunDrainPolicy();
 	void OnTick();
-	void OnSecond(TimePoint now);
-	void FinishStopping(TimePoint now);
+	void OnSecondTick(TimePoint now);
+	void AdvanceShutdown(TimePoint now);
 
 	uv_loop_s *loop;                                                       ///< Loop.
 	HttpServer server;                                                     ///< Callers and operators.
@@ -102,22 +103,22 @@
 	std::string policy_program;                                            ///< Program loaded.
 	Membership membership;                                                 ///< Other instances, and targets that leave.
 	PeerLinks peers;                                                       ///< Links to other instances.
-	OrderKeeper orders;                                                    ///< Orders to engines.
+	OrderController orders;                                                ///< Orders to engines.
 	pcg64 random;                                                          ///< Randomness of names and choices.
 	std::unordered_map<CallId, std::shared_ptr<Call>, StrongIdHash> calls; ///< Calls not yet answered.
-	DecisionCarrier<Call> carrier{this->calls};                            ///< Hands decisions to them.
+	DecisionExecutor<Call> carrier{this->calls};                           ///< Hands decisions to them.
 	uint64_t next_call = 1;                                                ///< Number of the next call.
 	std::map<uint64_t, TimePoint> heartbeat_times;                         ///< When the last heartbeats were sent, by counter.
 	size_t heartbeat_bytes = 0;                                            ///< Size of the last heartbeat.
-	std::map<std::string, uint64_t> heard;                                 ///< Last counter heard directly from each peer.
-	std::set<std::string> listed_leaving;                                  ///< Targets that the platform's list shows as leaving.
+	std::map<std::string, uint64_t> received_counters;                     ///< Last counter heard directly from each peer.
+	std::set<std::string> listed_draining;                                 ///< Targets that the platform's list shows as leaving.
 	TimePoint next_heartbeat, next_poll, next_list, next_second, next_call_tick, next_fetch; ///< When each is due.
-	bool fresh = false;     ///< Configuration was fresh at the last look, for the log.
-	bool stopping = false;  ///< Stop() was called.
-	TimePoint stop_begun;   ///< When.
-	bool was_ready = false; ///< Configuration and targets were known once.
-	bool listening = true;  ///< New connections are taken.
-	size_t cut_calls = 0;   ///< Calls cut by the end.
+	bool was_fresh = false;   ///< Configuration was fresh at the last look, for the log.
+	bool stopping = false;    ///< Stop() was called.
+	TimePoint stop_started;   ///< When.
+	bool ready_once = false;  ///< Configuration and targets were known once.
+	bool listening = true;    ///< New connections are taken.
+	size_t aborted_calls = 0; ///< Calls cut by the end.
 	struct Timer;
 	std::unique_ptr<Timer> timer; ///< The tick.
 };
--- a/src/instance/instance_http.cpp
+++ b/src/instance/instance_http.cpp
@@ -19,10 +19,10 @@
 void Instance::Reject(const std::shared_ptr<HttpExchange> &exchange, int status, const std::string &reason, const std::string &message)
 {
 	this->metrics.Count("cottonspool_rejected_total{reason=\"" + reason + "\"}");
-	CallFailure failure{status, reason, message, RanState::No, std::nullopt};
+	CallFailure failure{status, reason, message, ExecutionState::No, std::nullopt};
 	HttpHeaders headers{{"content-type", "application/json"}, {"Cottonspool-Ran", "no"}};
 	if (status == 401) headers.push_back({"www-authenticate", "Bearer"});
-	exchange->Respond(status, headers, FailureBody(failure, ""));
+	exchange->Respond(status, headers, FormatFailureBody(failure, ""));
 }
 
 void Instance::Handle(const std::shared_ptr<HttpExchange> &exchange)
@@ -39,9 +39,9 @@
 
 void Instance::HandleProbe(const std::shared_ptr<HttpExchange> &exchange)
 {
-	bool settled = this->configuration.State().Sequence() > 0 && this->watch.IsSettled();
-	bool ready = !this->stopping && (settled || this->was_ready);
-	this->was_ready = this->was_ready || settled;
+	bool settled = this->configuration.State().Sequence() > 0 && this->poller.AllPolledOnce();
+	bool ready = !this->stopping && (settled || this->ready_once);
+	this->ready_once = this->ready_once || settled;
 	if (exchange->request.path == "/livez" || ready) return exchange->Respond(200, {{"content-type", "text/plain"}}, "ok\n");
 	exchange->Respond(503, {{"content-type", "text/plain"}},
 	                  this->stopping ? "stopping\n" : "no configuration or no word of the targets yet\n");
@@ -69,8 +69,8 @@
 	return service_class == ServiceClass::Stream ? this->settings.stream_wait : this->settings.background_wait;
 }
 
-bool Instance::FillSpec(const std::shared_ptr<HttpExchange> &exchange, const std::string &account, const AccountRecord &record,
-                        CallSpec *spec)
+bool Instance::FillCallSpec(const std::shared_ptr<HttpExchange> &exchange, const std::string &account, const AccountRecord &record,
+                            CallSpec *spec)
 {
 	const HttpHeaders &headers = exchange->request.headers;
 	spec->id = CallId{this->next_call++};
@@ -165,7 +165,7 @@
 		return this->Reject(exchange, 400, "prompt-too-long", "prompt: is longer than the model's context");
 	}
 	CallSpec spec;
-	if (!this->FillSpec(exchange, account->first, account->second.record, &spec)) return;
+	if (!this->FillCallSpec(exchange, account->first, account->second.record, &spec)) return;
 	spec.model = this->models.Intern(request.model);
 	spec.prompt_tokens = request.prompt_tokens;
 	spec.max_tokens = request.max_tokens;
@@ -189,7 +189,7 @@
 	CallSpec spec;
 	spec.generated = false;
 	spec.repeatable = request.method == "GET" || request.method == "HEAD" || request.method == "OPTIONS";
-	if (!this->FillSpec(exchange, account->first, account->second.record, &spec)) return;
+	if (!this->FillCallSpec(exchange, account->first, account->second.record, &spec)) return;
 	spec.model = this->models.Intern(ServiceModelName(service));
 	if (this->dispatcher.Targets().ForModel(spec.model).empty()) {
 		return this->Reject(exchange, 404, "unknown-service", "path: there is no service " + service.substr(0, 64));
--- a/src/instance/instance_operator.cpp
+++ b/src/instance/instance_operator.cpp
@@ -16,7 +16,7 @@
 }
 
 /** @return Milliseconds of \a duration. */
-static int64_t Ms(Duration duration)
+static int64_t ToMs(Duration duration)
 {
 	return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
@@ -33,7 +33,7 @@
 }
 
 /** @return The records of \a kind, all or the one called \a name. */
-static Json Show(const ConfigurationState &state, const std::string &kind, const std::string &name)
+static Json ShowKind(const ConfigurationState &state, const std::string &kind, const std::string &name)
 {
 	auto parse = [](const std::string &text) { return Json::parse(text, nullptr, false); };
 	if (kind == "account")
@@ -58,14 +58,14 @@
 {
 	return Json{{"name", target.name},
 	            {"hall", target.hall},
-	            {"ready", target.bounds.ready},
-	            {"leaving", target.bounds.leaving},
+	            {"ready", target.restrictions.ready},
+	            {"leaving", target.restrictions.draining},
 	            {"slow", target.slow},
-	            {"ejected", now < target.bounds.ejected_until},
+	            {"ejected", now < target.restrictions.ejected_until},
 	            {"in_flight", target.in_flight.size()},
 	            {"pressure", targets.Pressure(target, MonotonicNow())},
 	            {"preemptions", target.report.preemptions},
-	            {"report_age_ms", target.report.sequence == 0 ? -1 : Ms(now - target.report_at)}};
+	            {"report_age_ms", target.report.sequence == 0 ? -1 : ToMs(now - target.report_at)}};
 }
 
 std::string Instance::StatusJson() const
@@ -75,7 +75,7 @@
 	Json status{{"instance", this->settings.name},
 	            {"hall", this->settings.hall},
 	            {"sequence", this->configuration.State().Sequence()},
-	            {"confirmed_age_ms", confirmed == TimePoint{} ? -1 : Ms(now - confirmed)},
+	            {"confirmed_age_ms", confirmed == TimePoint{} ? -1 : ToMs(now - confirmed)},
 	            {"fresh", this->IsConfigurationFresh()},
 	            {"stopping", this->stopping},
 	            {"calls", this->calls.size()},
@@ -83,9 +83,9 @@
 	            {"in_flight", this->dispatcher.InFlight()},
 	            {"links", this->peers.OpenLinks()},
 	            {"lease",
-	             {{"held", this->orders.TheLease().Held(now)},
-	              {"holder", this->orders.TheLease().Holder()},
-	              {"epoch", this->orders.TheLease().Epoch()}}},
+	             {{"held", this->orders.CurrentLease().Held(now)},
+	              {"holder", this->orders.CurrentLease().Holder()},
+	              {"epoch", this->orders.CurrentLease().Epoch()}}},
 	            {"orders", {{"sent", this->orders.Counters().sent}, {"refused", this->orders.Counters().refused}}},
 	            {"policy",
 	             {{"runs", this->policy.Counters().runs},
@@ -101,7 +101,7 @@
 	const TargetTable &targets = this->dispatcher.Targets();
 	for (uint32_t i = 0; i < targets.Size(); i++) {
 		const TargetState &target = targets.Get(TargetNumber{i});
-		if (target.bounds.known || !target.in_flight.empty()) status["targets"].push_back(TargetStatus(targets, target, now));
+		if (target.restrictions.known || !target.in_flight.empty()) status["targets"].push_back(TargetStatus(targets, target, now));
 	}
 	return status.dump();
 }
@@ -122,7 +122,7 @@
 	this->metrics.Gauge("cottonspool_platform_failures", static_cast<double>(this->platform.Counters().failures));
 	this->metrics.Gauge("cottonspool_peer_bytes_out", static_cast<double>(this->peers.Counters().bytes_out));
 	this->metrics.Gauge("cottonspool_peer_bytes_in", static_cast<double>(this->peers.Counters().bytes_in));
-	this->metrics.Gauge("cottonspool_load_reports", static_cast<double>(this->watch.Reports()));
+	this->metrics.Gauge("cottonspool_load_reports", static_cast<double>(this->poller.Reports()));
 	TargetTable &targets = this->dispatcher.Targets();
 	for (uint32_t i = 0; i < targets.Size(); i++) {
 		const TargetState &target = targets.Get(TargetNumber{i});
@@ -138,22 +138,23 @@
 	const HttpRequest &request = exchange->request;
 	std::string_view header = FindHeader(request.headers, "authorization");
 	constexpr std::string_view bearer = "Bearer ";
-	bool right = header.starts_with(bearer) && FormatDigest(DigestKey(header.substr(bearer.size()))) == this->settings.operator_key_sha256;
-	if (!right) return this->Reject(exchange, 401, "operator-key", "authorization: must be Bearer with the operators' key");
+	bool authorised =
+	        header.starts_with(bearer) && FormatDigest(DigestKey(header.substr(bearer.size()))) == this->settings.operator_key_sha256;
+	if (!authorised) return this->Reject(exchange, 401, "operator-key", "authorization: must be Bearer with the operators' key");
 	if (request.path == "/metrics") return exchange->Respond(200, {{"content-type", "text/plain; version=0.0.4"}}, this->RenderMetrics());
 	if (request.path == "/operator/status")
 		return exchange->Respond(200, {{"content-type", "application/json"}}, this->StatusJson() + "\n");
 	if (request.path == "/operator/apply" && request.method == "POST") return this->HandleApply(exchange);
 	if (request.path == "/operator/show") {
-		Json shown = Show(this->configuration.State(), QueryValue(request.query, "kind"), QueryValue(request.query, "name"));
+		Json shown = ShowKind(this->configuration.State(), QueryValue(request.query, "kind"), QueryValue(request.query, "name"));
 		if (shown.is_null()) return this->Reject(exchange, 400, "kind", "kind: must be account, model, target, share or policy");
 		return AnswerJson(exchange, 200, shown);
 	}
 	if (request.path == "/operator/explain") {
-		std::vector<CallEvent> events = this->ring.Find(QueryValue(request.query, "request"));
+		std::vector<TraceEvent> events = this->traces.Find(QueryValue(request.query, "request"));
 		if (events.empty()) return this->Reject(exchange, 404, "request", "request: not remembered here");
 		Json lines = Json::array();
-		for (const CallEvent &event : events) lines.push_back({{"ms", Ms(event.at - events.front().at)}, {"text", event.text}});
+		for (const TraceEvent &event : events) lines.push_back({{"ms", ToMs(event.at - events.front().at)}, {"text", event.text}});
 		return AnswerJson(exchange, 200, lines);
 	}
 	this->Reject(exchange, 404, "path", "path: there are status, apply, show and explain");
@@ -165,18 +166,18 @@
 	if (!change) return this->Reject(exchange, 422, "change", change.error().peer + ": " + change.error().message);
 	this->configuration.Accept(change.value(), [exchange](const ApplyResult &result) {
 		switch (result.end) {
-		case ApplyEnd::Accepted:
+		case ApplyOutcome::Accepted:
 			return AnswerJson(exchange, 200, {{"accepted", true}, {"sequence", result.sequence}, {"repeated", result.repeated}});
-		case ApplyEnd::Conflict:
+		case ApplyOutcome::Conflict:
 			return AnswerJson(
 			        exchange, 409,
 			        {{"accepted", false},
 			         {"conflict", {{"change", result.other.id}, {"author", result.other.author}, {"sequence", result.other.sequence}}}});
-		case ApplyEnd::Invalid:
+		case ApplyOutcome::Invalid:
 			return AnswerJson(exchange, 422, {{"accepted", false}, {"error", result.message}});
-		case ApplyEnd::Failed:
+		case ApplyOutcome::Failed:
 			return AnswerJson(exchange, 503, {{"accepted", false}, {"error", result.message}});
-		case ApplyEnd::Unknown:
+		case ApplyOutcome::Unknown:
 			return AnswerJson(exchange, 504, {{"accepted", nullptr}, {"error", result.message}});
 		}
 	});
--- a/src/instance/order_controller.cpp
+++ b/src/instance/order_controller.cpp
@@ -23,44 +23,44 @@
 	return lease;
 }
 
-void OrderKeeper::WriteLease(uint64_t nonce)
+void OrderController::WriteLease(uint64_t nonce)
 {
 	LeaseRow proposal = this->lease.Proposal(nonce);
 	std::string text = Json{{"holder", proposal.holder}, {"epoch", proposal.epoch}, {"nonce", proposal.nonce}}.dump();
 	TimePoint sent_at = MonotonicNow();
 	auto done = [this, proposal, sent_at](const WriteOutcome &outcome) {
-		this->busy = false;
+		this->lease_request_pending = false;
 		this->lease.OnWritten(proposal, outcome.result, outcome.version, sent_at, MonotonicNow());
 	};
-	this->busy = true;
+	this->lease_request_pending = true;
 	if (proposal.version.empty()) return this->platform.InsertRow(this->RowKey(), text, done);
 	this->platform.ReplaceRow(this->RowKey(), text, proposal.version, done);
 }
 
-void OrderKeeper::AdvanceLease(uint64_t nonce, TimePoint now)
+void OrderController::AdvanceLease(uint64_t nonce, TimePoint now)
 {
-	if (this->busy) return;
+	if (this->lease_request_pending) return;
 	LeaseStep step = this->lease.Next(now);
 	if (step == LeaseStep::Write) return this->WriteLease(nonce);
 	if (step != LeaseStep::Read) return;
-	this->busy = true;
+	this->lease_request_pending = true;
 	this->platform.ReadRow(this->RowKey(), [this](Result<PlatformRow> row) {
-		this->busy = false;
+		this->lease_request_pending = false;
 		if (row) this->lease.OnRead(ParseLeaseRow(row.value()), MonotonicNow());
 	});
 }
 
-void OrderKeeper::OrderIfDue(const std::string &name, const TargetRecord &record, TimePoint now)
+void OrderController::SendOrderIfDue(const std::string &name, const TargetRecord &record, TimePoint now)
 {
-	const ReportedState *reported = this->watch.Reported(name);
+	const ReportedState *reported = this->poller.Reported(name);
 	if (reported == nullptr || reported->incarnation.empty()) return;
 	std::set<std::string> wanted(record.serves.begin(), record.serves.end());
-	bool as_wanted = reported->models == wanted && (record.role.empty() || record.role == reported->role);
-	if (as_wanted || this->under_way >= MAX_ORDERS) return;
+	bool in_wanted_state = reported->models == wanted && (record.role.empty() || record.role == reported->role);
+	if (in_wanted_state || this->orders_in_flight >= MAX_ORDERS) return;
 	auto last = this->ordered_at.find(name);
-	if (last != this->ordered_at.end() && now - last->second < ORDER_LIMIT) return;
+	if (last != this->ordered_at.end() && now - last->second < ORDER_TIMEOUT) return;
 	// A target that does not check fences is left alone until the last order of the holder before must have arrived.
-	if (!record.checks_fences && now - this->lease.Since() < ORDER_LIMIT) return;
+	if (!record.checks_fences && now - this->lease.Since() < ORDER_TIMEOUT) return;
 	Json order{{"epoch", this->lease.Epoch()}, {"models", wanted}};
 	if (!record.role.empty()) order["role"] = record.role;
 	HttpCall call;
@@ -68,11 +68,11 @@
 	call.url = "http://" + record.address + "/orders";
 	call.headers = {{"content-type", "application/json"}};
 	call.body = order.dump();
-	call.total_limit = ORDER_LIMIT;
-	call.connect_limit = ORDER_LIMIT / 4;
-	call.single_send = true;
-	call.on_end = [this, name](const HttpEnd &end) {
-		this->under_way--;
+	call.total_timeout = ORDER_TIMEOUT;
+	call.connect_timeout = ORDER_TIMEOUT / 4;
+	call.fresh_connection = true;
+	call.on_end = [this, name](const HttpCallResult &end) {
+		this->orders_in_flight--;
 		if (end.status != 409) return;
 		this->counters.refused++;
 		Log(LogLevel::Warning, "order-refused", {{"target", name}, {"why", "old fence"}});
@@ -82,13 +82,13 @@
 		return;
 	}
 	this->ordered_at[name] = now;
-	this->under_way++;
+	this->orders_in_flight++;
 	this->counters.sent++;
 	Log(LogLevel::Info, "order-sent", {{"target", name}, {"epoch", std::to_string(this->lease.Epoch())}});
 	this->client.Start(std::move(call));
 }
 
-void OrderKeeper::OnTick(const ConfigurationState &configuration, uint64_t nonce, TimePoint now)
+void OrderController::OnTick(const ConfigurationState &configuration, uint64_t nonce, TimePoint now)
 {
 	this->AdvanceLease(nonce, now);
 	bool held = this->lease.Held(now);
@@ -98,8 +98,9 @@
 	if (!held) return;
 	for (const auto &[name, versioned] : configuration.Targets()) {
 		const TargetRecord &record = versioned.record;
-		bool ours = record.kind == TargetKind::Engine && record.hall == this->hall && record.reports && record.wish == TargetWish::Live;
-		if (ours) this->OrderIfDue(name, record, now);
+		bool managed_here = record.kind == TargetKind::Engine && record.hall == this->hall && record.reports &&
+		                    record.desired_state == DesiredState::Live;
+		if (managed_here) this->SendOrderIfDue(name, record, now);
 	}
 }
 
--- a/src/instance/order_controller.h
+++ b/src/instance/order_controller.h
@@ -17,10 +17,12 @@
 };
 
 /** Holds or seeks the lease, and orders each engine into the state that the configuration wants. */
-class OrderKeeper {
+class OrderController {
 public:
-	OrderKeeper(HttpClient &client, Platform &platform, TargetWatch &watch, std::string hall, const std::string &holder, Duration length)
-	    : client(client), platform(platform), watch(watch), hall(std::move(hall)), lease(holder, length), length(length)
+	OrderController(HttpClient &client, Platform &platform, TargetPoller &poller, std::string hall, const std::string &holder,
+	                Duration lease_duration)
+	    : client(client), platform(platform), poller(poller), hall(std::move(hall)), lease(holder, lease_duration),
+	      lease_duration(lease_duration)
 	{
 	}
 
@@ -31,7 +33,7 @@
 	void Resign() { this->lease.Resign(); }
 
 	/** @return The lease. */
-	const Lease &TheLease() const { return this->lease; }
+	const Lease &CurrentLease() const { return this->lease; }
 
 	/** @return Counters since the start. */
 	const OrderCounters &Counters() const { return this->counters; }
@@ -39,22 +41,22 @@
 private:
 	void AdvanceLease(uint64_t nonce, TimePoint now);
 	void WriteLease(uint64_t nonce);
-	void OrderIfDue(const std::string &name, const TargetRecord &record, TimePoint now);
+	void SendOrderIfDue(const std::string &name, const TargetRecord &record, TimePoint now);
 	std::string RowKey() const { return "lease/orders/" + this->hall; }
 
-	static constexpr Duration ORDER_LIMIT = std::chrono::seconds(2); ///< Longest time of one order, and pause before it is repeated.
-	static constexpr size_t MAX_ORDERS = 4;                          ///< Most orders under way: each may load weights.
+	static constexpr Duration ORDER_TIMEOUT = std::chrono::seconds(2); ///< Longest time of one order, and pause before it is repeated.
+	static constexpr size_t MAX_ORDERS = 4;                            ///< Most orders under way: each may load weights.
 
 	HttpClient &client;                          ///< HTTP.
 	Platform &platform;                          ///< Table.
-	TargetWatch &watch;                          ///< Reported states.
+	TargetPoller &poller;                        ///< Reported states.
 	std::string hall;                            ///< Own hall.
 	Lease lease;                                 ///< Lease.
-	Duration length;                             ///< Length of the lease.
-	bool busy = false;                           ///< A call about the lease's row is under way.
+	Duration lease_duration;                     ///< Length of the lease.
+	bool lease_request_pending = false;          ///< A call about the lease's row is under way.
 	bool was_held = false;                       ///< Held at the last tick, for the log.
 	std::map<std::string, TimePoint> ordered_at; ///< When each engine was last ordered.
-	size_t under_way = 0;                        ///< Orders under way.
+	size_t orders_in_flight = 0;                 ///< Orders under way.
 	OrderCounters counters;                      ///< Counters.
 };
 
--- a/src/instance/service_call.cpp
+++ b/src/instance/service_call.cpp
@@ -11,16 +11,16 @@
 namespace cottonspool {
 
 /** Fields that concern one connection only, or that this instance sets itself. */
-static constexpr std::array<const char *, 12> NOT_PASSED_ON{
+static constexpr std::array<const char *, 12> NOT_FORWARDED{
         "connection",     "keep-alive", "proxy-authorization", "proxy-authenticate", "te", "trailer", "transfer-encoding", "upgrade",
         "content-length", "host",       "authorization",       "cottonspool-ran"};
 
 /** @return \a headers without those of one connection. */
-static HttpHeaders PassedOn(const HttpHeaders &headers)
+static HttpHeaders ForwardedHeaders(const HttpHeaders &headers)
 {
 	HttpHeaders passed;
 	for (const HttpHeader &header : headers) {
-		bool skip = std::any_of(NOT_PASSED_ON.begin(), NOT_PASSED_ON.end(),
+		bool skip = std::any_of(NOT_FORWARDED.begin(), NOT_FORWARDED.end(),
 		                        [&](const char *name) { return strcasecmp(name, header.name.c_str()) == 0; });
 		if (!skip) passed.push_back(header);
 	}
@@ -35,24 +35,24 @@
 
 void ServiceCall::OnSend(const SendAction &action)
 {
-	const TargetRecord *record = this->instance.watch.Record(action.target);
-	if (record == nullptr) return this->EndSend(SendEnd::NotRun);
+	const TargetRecord *record = this->instance.poller.Record(action.target);
+	if (record == nullptr) return this->FinishSend(SendOutcome::NotExecuted);
 	this->target_name = this->instance.dispatcher.Targets().Get(action.target).name;
 	this->sent = true;
 	this->sent_at = MonotonicNow();
 	this->answer_body.clear();
 	this->too_large = false;
-	this->Note("sent to " + this->target_name);
+	this->Trace("sent to " + this->target_name);
 	HttpCall call;
 	call.method = this->exchange->request.method;
 	call.url = "http://" + record->address + this->path;
-	call.headers = PassedOn(this->exchange->request.headers);
+	call.headers = ForwardedHeaders(this->exchange->request.headers);
 	std::erase_if(call.headers, [](const HttpHeader &header) { return strcasecmp(header.name.c_str(), "cottonspool-request") == 0; });
 	call.headers.push_back({"Cottonspool-Request", this->request_name});
 	call.body = this->exchange->request.body;
-	call.connect_limit = this->instance.settings.call.connect;
-	call.total_limit = this->instance.settings.call.service;
-	call.single_send = !this->spec.repeatable;
+	call.connect_timeout = this->instance.settings.call.connect;
+	call.total_timeout = this->instance.settings.call.service;
+	call.fresh_connection = !this->spec.repeatable;
 	std::weak_ptr<Call> weak = this->weak_from_this();
 	auto self = [weak] { return std::static_pointer_cast<ServiceCall>(weak.lock()); };
 	auto limit = static_cast<size_t>(this->instance.settings.call.max_service_answer_bytes);
@@ -65,59 +65,59 @@
 		call_self->too_large |= call_self->answer_body.size() + data.size() > limit;
 		if (!call_self->too_large) call_self->answer_body.append(data);
 	};
-	call.on_end = [self](const HttpEnd &end) {
+	call.on_end = [self](const HttpCallResult &end) {
 		if (auto call_self = self()) call_self->OnEnd(end);
 	};
-	this->link = this->instance.client.Start(std::move(call));
+	this->http_call = this->instance.client.Start(std::move(call));
 }
 
-void ServiceCall::OnEnd(const HttpEnd &end)
+void ServiceCall::OnEnd(const HttpCallResult &end)
 {
-	this->link = 0;
-	if (this->over) return;
+	this->http_call = 0;
+	if (this->concluded) return;
 	auto keep = this->shared_from_this();
-	if (end.kind == HttpEndKind::NotSent) {
-		this->Note("not sent: " + end.message);
-		return this->EndSend(SendEnd::NotRun);
+	if (end.kind == HttpCallOutcome::NotSent) {
+		this->Trace("not sent: " + end.message);
+		return this->FinishSend(SendOutcome::NotExecuted);
 	}
-	if (end.kind != HttpEndKind::Answered || this->too_large) return this->AnswerInDoubt(end);
-	bool not_run = FindHeader(this->answer_headers, "Cottonspool-Ran") == "no";
-	if (not_run) {
-		this->Note("refused by " + this->target_name);
-		return this->EndSend(SendEnd::NotRun);
+	if (end.kind != HttpCallOutcome::Answered || this->too_large) return this->OnOutcomeUnknown(end);
+	bool not_executed = FindHeader(this->answer_headers, "Cottonspool-Ran") == "no";
+	if (not_executed) {
+		this->Trace("refused by " + this->target_name);
+		return this->FinishSend(SendOutcome::NotExecuted);
 	}
 	// A service that answers 5xx may have done a part: only its own word says that it has not.
-	RanState ran = end.status >= 500 ? RanState::Unknown : RanState::Yes;
-	this->Note("answered " + std::to_string(end.status));
+	ExecutionState ran = end.status >= 500 ? ExecutionState::Unknown : ExecutionState::Yes;
+	this->Trace("answered " + std::to_string(end.status));
 	double seconds = Seconds(MonotonicNow() - this->spec.arrived);
 	this->instance.metrics.Observe(Measure::ServiceSeconds, this->account_name, this->spec.service_class, seconds);
-	HttpHeaders headers = PassedOn(this->answer_headers);
-	headers.push_back({"Cottonspool-Ran", RanStateName(ran)});
+	HttpHeaders headers = ForwardedHeaders(this->answer_headers);
+	headers.push_back({"Cottonspool-Ran", ExecutionStateName(ran)});
 	headers.push_back({"Cottonspool-Request", this->request_name});
 	std::string type(FindHeader(this->answer_headers, "content-type"));
 	this->exchange->Respond(end.status, headers, this->answer_body);
-	this->EndSend(SendEnd::Complete);
+	this->FinishSend(SendOutcome::Complete);
 	this->Conclude(ran, end.status, type, this->answer_body);
 }
 
-void ServiceCall::AnswerInDoubt(const HttpEnd &end)
+void ServiceCall::OnOutcomeUnknown(const HttpCallResult &end)
 {
-	this->MarkDoubtful();
-	this->Note("in doubt: " + end.message);
-	if (this->spec.repeatable && !this->too_large) return this->EndSend(SendEnd::Lost);
-	bool timed_out = end.kind == HttpEndKind::TimedOut;
+	this->MarkOutcomeUnknown();
+	this->Trace("in doubt: " + end.message);
+	if (this->spec.repeatable && !this->too_large) return this->FinishSend(SendOutcome::Lost);
+	bool timed_out = end.kind == HttpCallOutcome::TimedOut;
 	CallFailure failure{timed_out ? 504 : 502, timed_out ? "service-timeout" : "service-answer-lost",
-	                    this->target_name + ": " + end.message + "; it may have run", RanState::Unknown, std::nullopt};
-	this->EndSend(SendEnd::LostAfterUse);
+	                    this->target_name + ": " + end.message + "; it may have run", ExecutionState::Unknown, std::nullopt};
+	this->FinishSend(SendOutcome::LostAfterDelivery);
 	this->Fail(failure);
 }
 
-void ServiceCall::OnCallerGone()
+void ServiceCall::OnCallerDisconnected()
 {
 	if (!this->sent) return;
-	if (this->link != 0) this->instance.client.Cancel(this->link);
-	this->link = 0;
-	this->EndSend(SendEnd::CallerGone);
+	if (this->http_call != 0) this->instance.client.Cancel(this->http_call);
+	this->http_call = 0;
+	this->FinishSend(SendOutcome::CallerDisconnected);
 }
 
 } // namespace cottonspool
--- a/src/instance/service_call.h
+++ b/src/instance/service_call.h
@@ -18,15 +18,15 @@
 	void OnSend(const SendAction &action) override;
 
 protected:
-	void OnCallerGone() override;
+	void OnCallerDisconnected() override;
 
 private:
-	void OnEnd(const HttpEnd &end);
-	void AnswerInDoubt(const HttpEnd &end);
+	void OnEnd(const HttpCallResult &end);
+	void OnOutcomeUnknown(const HttpCallResult &end);
 
 	std::string path;           ///< Path and query at the service.
 	std::string target_name;    ///< Target.
-	uint64_t link = 0;          ///< HTTP call under way; 0 when none.
+	uint64_t http_call = 0;     ///< HTTP call under way; 0 when none.
 	HttpHeaders answer_headers; ///< Headers of the answer.
 	std::string answer_body;    ///< Body of the answer so far.
 	bool too_large = false;     ///< The answer is larger than allowed.
--- a/src/instance/target_poller.cpp
+++ b/src/instance/target_poller.cpp
@@ -12,8 +12,8 @@
 
 using Json = nlohmann::json;
 
-static constexpr size_t MAX_REPORT_BYTES = 64U << 10;                     ///< Largest load report taken.
-static constexpr Duration REPORT_LIMIT = std::chrono::milliseconds(1000); ///< Longest time to wait for a report.
+static constexpr size_t MAX_REPORT_BYTES = 64U << 10;                       ///< Largest load report taken.
+static constexpr Duration REPORT_TIMEOUT = std::chrono::milliseconds(1000); ///< Longest time to wait for a report.
 
 std::string ServiceModelName(const std::string &service)
 {
@@ -44,7 +44,7 @@
 		report.waiting = object.value("waiting", 0U);
 		report.waiting_tokens = object.value("waiting_tokens", 0ULL);
 		report.preemptions = object.value("preemptions", 0ULL);
-		report.leaving = object.value("leaving", false);
+		report.draining = object.value("leaving", false);
 		report.age = std::chrono::milliseconds(std::clamp<int64_t>(object.value("age_ms", 0LL), 0, 3600000));
 		report.prefixes = object.value("prefixes", std::vector<uint64_t>{});
 		state->models = object.value("models", std::set<std::string>{});
@@ -58,7 +58,7 @@
 
 /** @return The names of the targets that \a instance is to use: all of a few, a stable choice of many. */
 static std::set<std::string> ChooseTargets(const ConfigurationState &configuration, const std::string &instance, const std::string &hall,
-                                           size_t watched)
+                                           size_t max_per_model)
 {
 	std::map<std::string, std::vector<std::string>> by_model;
 	for (const auto &[name, versioned] : configuration.Targets()) {
@@ -67,112 +67,114 @@
 	std::set<std::string> chosen;
 	for (const auto &[model, names] : by_model) {
 		std::vector<std::string> own;
-		if (names.size() > watched) {
+		if (names.size() > max_per_model) {
 			std::copy_if(names.begin(), names.end(), std::back_inserter(own),
 			             [&](const std::string &name) { return configuration.Targets().at(name).record.hall == hall; });
 		}
-		const std::vector<std::string> &candidates = own.size() >= watched ? own : names;
-		for (std::string &name : RendezvousChoice(instance + "/" + model, candidates, watched)) chosen.insert(std::move(name));
+		const std::vector<std::string> &candidates = own.size() >= max_per_model ? own : names;
+		for (std::string &name : RendezvousChoice(instance + "/" + model, candidates, max_per_model)) chosen.insert(std::move(name));
 	}
 	return chosen;
 }
 
-void TargetWatch::ConfigureModels(const std::string &name, Watch &watch)
+void TargetPoller::ConfigureModels(const std::string &name, PolledTarget &polled)
 {
 	std::vector<ModelNumber> numbers;
-	for (const std::string &served : watch.record.serves) {
-		bool engine = watch.record.kind == TargetKind::Engine;
-		if (engine && watch.record.reports && !watch.reported.models.contains(served)) continue;
+	for (const std::string &served : polled.record.serves) {
+		bool engine = polled.record.kind == TargetKind::Engine;
+		if (engine && polled.record.reports && !polled.reported.models.contains(served)) continue;
 		numbers.push_back(this->models.Intern(engine ? served : ServiceModelName(served)));
 	}
-	watch.number = this->targets.Configure(name, watch.record.hall, numbers, watch.record.kind == TargetKind::Engine);
-	if (!watch.record.reports) this->targets.SetUnreported(watch.number, watch.record.slots);
+	polled.number = this->targets.Configure(name, polled.record.hall, numbers, polled.record.kind == TargetKind::Engine);
+	if (!polled.record.reports) this->targets.SetServiceCapacity(polled.number, polled.record.slots);
 }
 
-void TargetWatch::Configure(const ConfigurationState &configuration, const std::string &instance, const std::string &hall, size_t watched)
+void TargetPoller::Configure(const ConfigurationState &configuration, const std::string &instance, const std::string &hall,
+                             size_t max_per_model)
 {
-	std::set<std::string> chosen = ChooseTargets(configuration, instance, hall, watched);
-	for (auto it = this->watches.begin(); it != this->watches.end();) {
+	std::set<std::string> chosen = ChooseTargets(configuration, instance, hall, max_per_model);
+	for (auto it = this->targets_by_name.begin(); it != this->targets_by_name.end();) {
 		if (chosen.contains(it->first)) {
 			++it;
 			continue;
 		}
 		this->targets.Forget(it->second.number);
-		it = this->watches.erase(it);
+		it = this->targets_by_name.erase(it);
 	}
 	for (const std::string &name : chosen) {
 		const Versioned<TargetRecord> &versioned = configuration.Targets().at(name);
-		bool was_leaving = this->watches.contains(name) && this->watches[name].record.wish == TargetWish::Leaving;
-		Watch &watch = this->watches[name];
-		if (watch.record.address != versioned.record.address) watch.reported = {};
-		watch.record = versioned.record;
-		this->ConfigureModels(name, watch);
-		if (watch.record.wish == TargetWish::Leaving) this->targets.MarkLeaving(watch.number);
-		if (watch.record.wish == TargetWish::Live && was_leaving) this->targets.ClearLeaving(watch.number);
+		bool was_draining =
+		        this->targets_by_name.contains(name) && this->targets_by_name[name].record.desired_state == DesiredState::Leaving;
+		PolledTarget &polled = this->targets_by_name[name];
+		if (polled.record.address != versioned.record.address) polled.reported = {};
+		polled.record = versioned.record;
+		this->ConfigureModels(name, polled);
+		if (polled.record.desired_state == DesiredState::Leaving) this->targets.MarkDraining(polled.number);
+		if (polled.record.desired_state == DesiredState::Live && was_draining) this->targets.ClearDraining(polled.number);
 	}
 }
 
-void TargetWatch::Ask(const std::string &name, Watch &watch, Duration period)
+void TargetPoller::RequestReport(const std::string &name, PolledTarget &polled, Duration period)
 {
-	watch.asking = true;
+	polled.request_pending = true;
 	auto body = std::make_shared<std::string>();
 	HttpCall call;
-	call.url = "http://" + watch.record.address + "/load";
-	call.connect_limit = std::min<Duration>(REPORT_LIMIT, 2 * period);
-	call.first_byte_limit = REPORT_LIMIT;
-	call.total_limit = REPORT_LIMIT;
+	call.url = "http://" + polled.record.address + "/load";
+	call.connect_timeout = std::min<Duration>(REPORT_TIMEOUT, 2 * period);
+	call.first_byte_timeout = REPORT_TIMEOUT;
+	call.total_timeout = REPORT_TIMEOUT;
 	call.on_data = [body](std::string_view data) {
 		if (body->size() + data.size() <= MAX_REPORT_BYTES) body->append(data);
 	};
-	call.on_end = [this, name, body](const HttpEnd &end) {
-		auto found = this->watches.find(name);
-		if (found == this->watches.end()) return;
-		found->second.asking = false;
-		found->second.asked = true;
-		if (end.kind == HttpEndKind::Answered && end.status == 200) this->OnAnswer(name, *body);
+	call.on_end = [this, name, body](const HttpCallResult &end) {
+		auto found = this->targets_by_name.find(name);
+		if (found == this->targets_by_name.end()) return;
+		found->second.request_pending = false;
+		found->second.polled_once = true;
+		if (end.kind == HttpCallOutcome::Answered && end.status == 200) this->OnReportBody(name, *body);
 	};
 	this->client.Start(std::move(call));
 }
 
-void TargetWatch::OnAnswer(const std::string &name, const std::string &body)
+void TargetPoller::OnReportBody(const std::string &name, const std::string &body)
 {
-	Watch &watch = this->watches.at(name);
+	PolledTarget &polled = this->targets_by_name.at(name);
 	ReportedState state;
 	std::optional<LoadReport> report = ParseLoadReport(body, &state);
 	if (!report) return;
 	this->reports++;
-	bool changed = state.models != watch.reported.models;
+	bool changed = state.models != polled.reported.models;
 	if (changed) Log(LogLevel::Info, "target-models", {{"target", name}, {"models", std::to_string(state.models.size())}});
-	watch.reported = std::move(state);
-	if (changed) this->ConfigureModels(name, watch);
-	this->handler(watch.number, *report);
+	polled.reported = std::move(state);
+	if (changed) this->ConfigureModels(name, polled);
+	this->handler(polled.number, *report);
 }
 
-void TargetWatch::OnTick(TimePoint now, Duration period)
+void TargetPoller::OnTick(TimePoint now, Duration period)
 {
-	for (auto &[name, watch] : this->watches) {
-		if (!watch.record.reports || watch.asking || now < watch.due) continue;
-		watch.due = now + period;
-		this->Ask(name, watch, period);
+	for (auto &[name, polled] : this->targets_by_name) {
+		if (!polled.record.reports || polled.request_pending || now < polled.next_poll) continue;
+		polled.next_poll = now + period;
+		this->RequestReport(name, polled, period);
 	}
 }
 
-bool TargetWatch::IsSettled() const
+bool TargetPoller::AllPolledOnce() const
 {
-	return std::all_of(this->watches.begin(), this->watches.end(),
-	                   [](const auto &entry) { return entry.second.asked || !entry.second.record.reports; });
+	return std::all_of(this->targets_by_name.begin(), this->targets_by_name.end(),
+	                   [](const auto &entry) { return entry.second.polled_once || !entry.second.record.reports; });
 }
 
-const TargetRecord *TargetWatch::Record(TargetNumber target) const
+const TargetRecord *TargetPoller::Record(TargetNumber target) const
 {
-	auto found = this->watches.find(this->targets.Get(target).name);
-	return found == this->watches.end() ? nullptr : &found->second.record;
+	auto found = this->targets_by_name.find(this->targets.Get(target).name);
+	return found == this->targets_by_name.end() ? nullptr : &found->second.record;
 }
 
-const ReportedState *TargetWatch::Reported(const std::string &name) const
+const ReportedState *TargetPoller::Reported(const std::string &name) const
 {
-	auto found = this->watches.find(name);
-	return found == this->watches.end() ? nullptr : &found->second.reported;
+	auto found = this->targets_by_name.find(name);
+	return found == this->targets_by_name.end() ? nullptr : &found->second.reported;
 }
 
 } // namespace cottonspool
--- a/src/instance/target_poller.h
+++ b/src/instance/target_poller.h
@@ -19,18 +19,18 @@
 };
 
 /** Watches all targets that this instance uses. */
-class TargetWatch {
+class TargetPoller {
 public:
 	/** A load report came; carries what the dispatcher decides on. */
 	using ReportHandler = std::function<void(TargetNumber, const LoadReport &)>;
 
-	TargetWatch(HttpClient &client, TargetTable &targets, NameTable<ModelNumber> &models, ReportHandler handler)
+	TargetPoller(HttpClient &client, TargetTable &targets, NameTable<ModelNumber> &models, ReportHandler handler)
 	    : client(client), targets(targets), models(models), handler(std::move(handler))
 	{
 	}
 
-	/** The configuration has changed: take over its targets, at most \a watched per model, chosen for \a instance. */
-	void Configure(const ConfigurationState &configuration, const std::string &instance, const std::string &hall, size_t watched);
+	/** The configuration has changed: take over its targets, at most \a max_per_model per model, chosen for \a instance. */
+	void Configure(const ConfigurationState &configuration, const std::string &instance, const std::string &hall, size_t max_per_model);
 
 	/** Ask every target whose next report is due. */
 	void OnTick(TimePoint now, Duration period);
@@ -42,35 +42,35 @@
 	const ReportedState *Reported(const std::string &name) const;
 
 	/** @return Whether every target was asked for its load at least once. */
-	bool IsSettled() const;
+	bool AllPolledOnce() const;
 
 	/** @return Reports taken in. */
 	uint64_t Reports() const { return this->reports; }
 
 	/** @return Targets watched. */
-	size_t Watched() const { return this->watches.size(); }
+	size_t PolledTargets() const { return this->targets_by_name.size(); }
 
 private:
 	/** One watched target. */
-	struct Watch {
-		TargetNumber number;    ///< Number in the table.
-		TargetRecord record;    ///< What the configuration says.
-		TimePoint due;          ///< When the next report is to be asked for.
-		bool asking = false;    ///< A call is under way.
-		bool asked = false;     ///< It was asked at least once, and answered or not.
-		ReportedState reported; ///< Last report.
+	struct PolledTarget {
+		TargetNumber number;          ///< Number in the table.
+		TargetRecord record;          ///< What the configuration says.
+		TimePoint next_poll;          ///< When the next report is to be asked for.
+		bool request_pending = false; ///< A call is under way.
+		bool polled_once = false;     ///< It was asked at least once, and answered or not.
+		ReportedState reported;       ///< Last report.
 	};
 
-	void Ask(const std::string &name, Watch &watch, Duration period);
-	void OnAnswer(const std::string &name, const std::string &body);
-	void ConfigureModels(const std::string &name, Watch &watch);
+	void RequestReport(const std::string &name, PolledTarget &polled, Duration period);
+	void OnReportBody(const std::string &name, const std::string &body);
+	void ConfigureModels(const std::string &name, PolledTarget &polled);
 
-	HttpClient &client;                   ///< HTTP.
-	TargetTable &targets;                 ///< Table of the dispatcher.
-	NameTable<ModelNumber> &models;       ///< Numbers of models and services.
-	ReportHandler handler;                ///< Gets the reports.
-	std::map<std::string, Watch> watches; ///< Watched targets by name.
-	uint64_t reports = 0;                 ///< Reports taken in.
+	HttpClient &client;                                  ///< HTTP.
+	TargetTable &targets;                                ///< Table of the dispatcher.
+	NameTable<ModelNumber> &models;                      ///< Numbers of models and services.
+	ReportHandler handler;                               ///< Gets the reports.
+	std::map<std::string, PolledTarget> targets_by_name; ///< Watched targets by name.
+	uint64_t reports = 0;                                ///< Reports taken in.
 };
 
 /** Read a load report. @return Nothing when \a body is none. */
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -79,14 +79,14 @@
 		        handle, [](uv_signal_t *signal, int) { static_cast<Instance *>(signal->data)->Stop(); }, number);
 	}
 	uv_run(loop, UV_RUN_DEFAULT);
-	return instance.CutCalls() == 0 ? EXIT_OK : EXIT_FAILED;
+	return instance.AbortedCalls() == 0 ? EXIT_OK : EXIT_FAILED;
 }
 
 /** Run an instance on the operators' platform until it is stopped. */
 static int RunGateway()
 {
 	if (FLAGS_switch == "help") {
-		for (const RuleSwitch &rule : RuleSwitches()) std::cout << rule.name << ": " << rule.effect << std::endl;
+		for (const FeatureSwitch &rule : FeatureSwitches()) std::cout << rule.name << ": " << rule.effect << std::endl;
 		return EXIT_OK;
 	}
 	std::string path = FLAGS_settings.empty() ? NodeSettingsPath() : FLAGS_settings;
@@ -104,7 +104,7 @@
 		return EXIT_OK;
 	}
 	GatewayLimits limits = GatewayLimitsFor(settings.value());
-	if (Result<void> switched = SwitchRules(FLAGS_switch, limits); !switched) {
+	if (Result<void> switched = ApplySwitches(FLAGS_switch, limits); !switched) {
 		std::cerr << "cottonspool: " << FormatError(switched.error()) << std::endl;
 		return EXIT_USAGE;
 	}
@@ -127,7 +127,7 @@
 		uv_signal_start(handle, number == SIGHUP ? +read_again : +stop, number);
 	}
 	uv_run(loop, UV_RUN_DEFAULT);
-	return gateway.CutCalls() == 0 ? EXIT_OK : EXIT_FAILED;
+	return gateway.AbortedCalls() == 0 ? EXIT_OK : EXIT_FAILED;
 }
 
 /** @return The flags of the operators' verbs. */
--- a/src/metrics/log.cpp
+++ b/src/metrics/log.cpp
@@ -21,12 +21,12 @@
 
 namespace trivial = boost::log::trivial;
 
-static constexpr size_t MOST_WAITING_BYTES = 256U << 10; ///< Lines that may wait for a slow reader: a few seconds of a busy instance.
+static constexpr size_t MAX_BUFFERED_BYTES = 256U << 10; ///< Lines that may wait for a slow reader: a few seconds of a busy instance.
 static constexpr size_t FLUSH_BYTES = 32U << 10;         ///< Waiting bytes from which a line is flushed at once.
 
 static bool json_form = false;                              ///< Lines are JSON objects.
 static std::string instance_name;                           ///< Name on each line.
-static LineBuffer lines(STDOUT_FILENO, MOST_WAITING_BYTES); ///< Lines on their way.
+static LineBuffer lines(STDOUT_FILENO, MAX_BUFFERED_BYTES); ///< Lines on their way.
 
 /** Boost.Log's way into the buffer; only the loop's thread writes lines. */
 class BufferBackend : public boost::log::sinks::basic_formatted_sink_backend<char, boost::log::sinks::concurrent_feeding> {
--- a/src/net/http_front.cpp
+++ b/src/net/http_front.cpp
@@ -23,8 +23,8 @@
 	/** @return Whether it rests between two requests. */
 	bool IsIdle() const { return !this->exchange && !this->reader.IsInsideMessage(); }
 
-	/** Close it, and tell the request under way that the caller is gone if \a tell. */
-	void Close(bool tell);
+	/** Close it, and tell the request under way that the caller is gone if \a notify. */
+	void Close(bool notify);
 
 	/** The answer under way is whole. */
 	void OnAnswered(bool keep_alive);
@@ -32,32 +32,32 @@
 	/** Close it so that the caller sees that the answer is not whole. */
 	void Break();
 
-	HttpFront &front;                                            ///< Server.
-	std::shared_ptr<TcpStream> stream;                           ///< Connection.
-	std::list<std::shared_ptr<FrontConnection>>::iterator place; ///< Place in the server's list.
+	HttpFront &front;                                                    ///< Server.
+	std::shared_ptr<TcpStream> stream;                                   ///< Connection.
+	std::list<std::shared_ptr<FrontConnection>>::iterator list_position; ///< Place in the server's list.
 
 private:
 	void OnData(std::string_view bytes);
 	void OnHead(HttpHead &&head);
 	void OnBody(std::string_view bytes);
 	void OnComplete();
-	void ReadOn();
+	void ReadPipelined();
 	void Refuse(int status);
 	void RefuseMalformed();
-	void Forget();
+	void Unregister();
 
 	HttpReader reader{HttpReader::Kind::Requests}; ///< Reads requests.
 	std::shared_ptr<FrontExchange> exchange;       ///< Request being read or worked on.
-	bool handed_over = false;                      ///< The handler has it.
+	bool in_handler = false;                       ///< The handler has it.
 	bool in_reader = false;                        ///< The reader is at work.
-	TimePoint since;                               ///< Begin of the present wait.
-	bool forgotten = false;                        ///< Out of the server's list.
+	TimePoint waiting_since;                       ///< Begin of the present wait.
+	bool unregistered = false;                     ///< Out of the server's list.
 	bool refused = false;                          ///< Nothing more is read.
 };
 
 FrontConnection::FrontConnection(HttpFront &front, std::shared_ptr<TcpStream> stream) : front(front), stream(std::move(stream))
 {
-	this->since = MonotonicNow();
+	this->waiting_since = MonotonicNow();
 	this->reader.max_head_bytes = front.limits.max_head_bytes;
 	this->reader.on_head = [this](HttpHead &&head) { this->OnHead(std::move(head)); };
 	this->reader.on_body = [this](std::string_view bytes) { this->OnBody(bytes); };
@@ -82,22 +82,22 @@
 void FrontConnection::OnData(std::string_view bytes)
 {
 	if (this->refused) return;
-	auto keep = this->shared_from_this();
-	if (this->IsIdle()) this->since = MonotonicNow();
+	auto self_reference = this->shared_from_this();
+	if (this->IsIdle()) this->waiting_since = MonotonicNow();
 	this->reader.max_head_bytes = this->front.limits.max_head_bytes;
 	this->in_reader = true;
 	bool readable = this->reader.Add(bytes);
 	this->in_reader = false;
 	if (!readable) this->RefuseMalformed();
-	this->ReadOn();
-	if (this->handed_over && this->reader.Kept() > MAX_PIPELINED_BYTES) this->stream->SetReading(false);
+	this->ReadPipelined();
+	if (this->in_handler && this->reader.BufferedBytes() > MAX_PIPELINED_BYTES) this->stream->SetReading(false);
 }
 
-void FrontConnection::ReadOn()
+void FrontConnection::ReadPipelined()
 {
 	if (this->in_reader) return;
 	// A loop rather than a call from each answer: many small requests sent at once must not deepen the stack.
-	while (!this->refused && !this->handed_over && this->reader.IsPaused()) {
+	while (!this->refused && !this->in_handler && this->reader.IsPaused()) {
 		this->in_reader = true;
 		bool readable = this->reader.Resume();
 		this->in_reader = false;
@@ -111,7 +111,7 @@
 	this->exchange->connection = this;
 	this->exchange->keep_alive = head.keep_alive;
 	this->exchange->head = std::move(head);
-	this->since = MonotonicNow();
+	this->waiting_since = MonotonicNow();
 	if (this->exchange->head.length.value_or(0) > this->front.limits.max_body_bytes) return this->Refuse(413);
 	std::string_view expect = FindHeader(this->exchange->head.headers, "expect");
 	if (strncasecmp(expect.data(), "100-continue", expect.size()) == 0 && !expect.empty()) {
@@ -122,7 +122,7 @@
 void FrontConnection::OnBody(std::string_view bytes)
 {
 	if (this->refused || !this->exchange) return;
-	this->since = MonotonicNow();
+	this->waiting_since = MonotonicNow();
 	if (this->exchange->body.size() + bytes.size() > this->front.limits.max_body_bytes) return this->Refuse(413);
 	this->exchange->body.append(bytes);
 }
@@ -131,7 +131,7 @@
 {
 	if (this->refused || !this->exchange) return;
 	this->exchange->read_at = MonotonicNow();
-	this->handed_over = true;
+	this->in_handler = true;
 	this->front.handler(this->exchange);
 }
 
@@ -145,13 +145,13 @@
 	this->exchange.reset();
 	this->stream->Write(std::move(text));
 	this->stream->CloseAfterWrites();
-	this->Forget();
+	this->Unregister();
 }
 
 void FrontConnection::RefuseMalformed()
 {
 	// Bytes that came behind a request under way belong to a later one: the answer under way is not spoilt by them.
-	if (this->handed_over) {
+	if (this->in_handler) {
 		this->refused = true;
 		if (this->exchange) this->exchange->keep_alive = false;
 		return;
@@ -161,60 +161,60 @@
 
 void FrontConnection::OnTick(TimePoint now)
 {
-	if (this->handed_over || this->refused) return;
-	Duration waited = now - this->since;
+	if (this->in_handler || this->refused) return;
+	Duration waited = now - this->waiting_since;
 	const FrontLimits &limits = this->front.limits;
 	if (this->IsIdle()) {
 		if (waited > limits.idle_timeout) this->Close(false);
 		return;
 	}
-	Duration most = this->exchange ? limits.body_timeout : limits.head_timeout;
-	if (waited > most) this->Refuse(408);
+	Duration timeout = this->exchange ? limits.body_timeout : limits.head_timeout;
+	if (waited > timeout) this->Refuse(408);
 }
 
 void FrontConnection::OnAnswered(bool keep_alive)
 {
-	auto keep = this->shared_from_this();
+	auto self_reference = this->shared_from_this();
 	this->exchange->connection = nullptr;
 	this->exchange.reset();
-	this->handed_over = false;
-	this->since = MonotonicNow();
+	this->in_handler = false;
+	this->waiting_since = MonotonicNow();
 	if (!keep_alive || this->refused) {
 		this->refused = true;
 		this->stream->CloseAfterWrites();
-		return this->Forget();
+		return this->Unregister();
 	}
 	this->stream->SetReading(true);
-	this->ReadOn();
+	this->ReadPipelined();
 }
 
 void FrontConnection::Break()
 {
-	auto keep = this->shared_from_this();
+	auto self_reference = this->shared_from_this();
 	this->exchange->connection = nullptr;
 	this->exchange.reset();
 	this->refused = true;
 	this->stream->Abort();
-	this->Forget();
+	this->Unregister();
 }
 
-void FrontConnection::Close(bool tell)
+void FrontConnection::Close(bool notify)
 {
-	auto keep = this->shared_from_this();
-	std::shared_ptr<FrontExchange> left = std::move(this->exchange);
+	auto self_reference = this->shared_from_this();
+	std::shared_ptr<FrontExchange> interrupted = std::move(this->exchange);
 	this->refused = true;
 	this->stream->Close();
-	this->Forget();
-	if (!left) return;
-	left->connection = nullptr;
-	if (tell && this->handed_over && left->on_gone) left->on_gone();
+	this->Unregister();
+	if (!interrupted) return;
+	interrupted->connection = nullptr;
+	if (notify && this->in_handler && interrupted->on_disconnect) interrupted->on_disconnect();
 }
 
-void FrontConnection::Forget()
+void FrontConnection::Unregister()
 {
-	if (this->forgotten) return;
-	this->forgotten = true;
-	this->front.connections.erase(this->place);
+	if (this->unregistered) return;
+	this->unregistered = true;
+	this->front.connections.erase(this->list_position);
 }
 
 void FrontExchange::SendHead(int status, const HttpHeaders &headers, std::optional<uint64_t> length, std::string_view reason,
@@ -294,7 +294,7 @@
 {
 	auto connection = std::make_shared<FrontConnection>(*this, std::move(stream));
 	this->connections.push_back(connection);
-	connection->place = std::prev(this->connections.end());
+	connection->list_position = std::prev(this->connections.end());
 	connection->Begin();
 }
 
--- a/src/net/http_front.h
+++ b/src/net/http_front.h
@@ -25,12 +25,12 @@
 /** One request with its answer. */
 class FrontExchange {
 public:
-	HttpHead head;                    ///< Head of the request.
-	std::string body;                 ///< Whole body.
-	Endpoint from;                    ///< Where the caller is.
-	TimePoint read_at;                ///< When the request was whole.
-	std::function<void()> on_gone;    ///< The caller left before the answer was whole.
-	std::function<void()> on_drained; ///< Everything written so far has been sent.
+	HttpHead head;                       ///< Head of the request.
+	std::string body;                    ///< Whole body.
+	Endpoint from;                       ///< Where the caller is.
+	TimePoint read_at;                   ///< When the request was whole.
+	std::function<void()> on_disconnect; ///< The caller left before the answer was whole.
+	std::function<void()> on_drained;    ///< Everything written so far has been sent.
 
 	/** Answer whole. */
 	void Respond(int status, const HttpHeaders &headers, std::string_view answer_body, std::string_view reason = {});
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -123,13 +123,13 @@
 
 HttpReader::~HttpReader() = default;
 
-bool HttpReader::Run(std::string_view bytes)
+bool HttpReader::Parse(std::string_view bytes)
 {
 	size_t used = http_parser_execute(&this->parser->state, &this->parser->callbacks, bytes.data(), bytes.size());
 	auto code = static_cast<http_errno>(this->parser->state.http_errno);
 	if (code == HPE_PAUSED) {
 		// The parser stops on the last byte of a message without counting it when it is paused from that callback.
-		this->kept.append(bytes.substr(std::min(bytes.size(), used)));
+		this->buffered.append(bytes.substr(std::min(bytes.size(), used)));
 		if (this->on_complete) this->on_complete();
 		return true;
 	}
@@ -144,13 +144,13 @@
 {
 	if (this->error != HttpReadError::None) return false;
 	if (this->paused) {
-		this->kept.append(bytes);
+		this->buffered.append(bytes);
 		return true;
 	}
-	return this->Run(bytes);
+	return this->Parse(bytes);
 }
 
-void HttpReader::AddEnd()
+void HttpReader::AddEof()
 {
 	if (this->paused || this->error != HttpReadError::None) return;
 	http_parser_execute(&this->parser->state, &this->parser->callbacks, nullptr, 0);
@@ -163,9 +163,9 @@
 	if (!this->paused) return true;
 	this->paused = false;
 	http_parser_pause(&this->parser->state, 0);
-	std::string bytes = std::move(this->kept);
-	this->kept.clear();
-	return bytes.empty() || this->Run(bytes);
+	std::string bytes = std::move(this->buffered);
+	this->buffered.clear();
+	return bytes.empty() || this->Parse(bytes);
 }
 
 const char *ReasonPhrase(int status)
@@ -202,7 +202,7 @@
 }
 
 /** @return Whether the comma-separated \a list holds \a name. */
-static bool ListHolds(std::string_view list, std::string_view name)
+static bool ListContains(std::string_view list, std::string_view name)
 {
 	while (!list.empty()) {
 		size_t comma = std::min(list.find(','), list.size());
@@ -220,7 +220,7 @@
 	std::string_view named = FindHeader(headers, "connection");
 	HttpHeaders kept;
 	for (const HttpHeader &header : headers) {
-		if (!IsConnectionField(header.name) && !ListHolds(named, header.name)) kept.push_back(header);
+		if (!IsConnectionField(header.name) && !ListContains(named, header.name)) kept.push_back(header);
 	}
 	return kept;
 }
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -52,7 +52,7 @@
 	bool Add(std::string_view bytes);
 
 	/** The other side has closed: an answer without a length is whole now. */
-	void AddEnd();
+	void AddEof();
 
 	/** Go on with what follows the last message. @return As Add(). */
 	bool Resume();
@@ -64,7 +64,7 @@
 	bool IsInsideMessage() const { return this->inside; }
 
 	/** @return Bytes kept behind the last whole message. */
-	size_t Kept() const { return this->kept.size(); }
+	size_t BufferedBytes() const { return this->buffered.size(); }
 
 	/** @return What was wrong, when Add() or Resume() returned false. */
 	HttpReadError Error() const { return this->error; }
@@ -72,10 +72,10 @@
 	struct Parser;
 
 private:
-	bool Run(std::string_view bytes);
+	bool Parse(std::string_view bytes);
 
 	std::unique_ptr<Parser> parser;            ///< http-parser's state.
-	std::string kept;                          ///< Bytes behind a whole message.
+	std::string buffered;                      ///< Bytes behind a whole message.
 	size_t head_bytes = 0;                     ///< Bytes of the running head.
 	bool paused = false;                       ///< Waits for Resume().
 	bool inside = false;                       ///< Inside a message.
--- a/src/net/http_upstream.cpp
+++ b/src/net/http_upstream.cpp
@@ -7,14 +7,15 @@
 
 namespace cottonspool {
 
-static constexpr size_t MAX_IDLE_PER_PEER = 16;                         ///< Connections kept to one peer.
-static constexpr Duration IDLE_DEFAULT = std::chrono::seconds(5);       ///< Rest after which a connection is closed if the peer names none.
+static constexpr size_t MAX_IDLE_PER_PEER = 16; ///< Connections kept to one peer.
+static constexpr Duration DEFAULT_IDLE_TIMEOUT =
+        std::chrono::seconds(5);                                        ///< Rest after which a connection is closed if the peer names none.
 static constexpr Duration IDLE_MARGIN = std::chrono::milliseconds(800); ///< Time before the peer's own limit at which we close.
 
 /** One connection to a peer, with at most one call. */
-class UpstreamLink : public std::enable_shared_from_this<UpstreamLink> {
+class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
 public:
-	UpstreamLink(HttpUpstream &owner, std::shared_ptr<TcpStream> stream, std::string peer, const Endpoint &to);
+	UpstreamConnection(HttpUpstream &owner, std::shared_ptr<TcpStream> stream, std::string peer, const Endpoint &to);
 
 	/** Set the functions of the connection. */
 	void Begin();
@@ -25,14 +26,14 @@
 	/** Close it without a word. */
 	void Close();
 
-	UpstreamCall call;                 ///< Call under way.
-	uint64_t number = 0;               ///< Its number; 0 while the connection rests.
-	std::shared_ptr<TcpStream> stream; ///< Connection.
-	std::string peer;                  ///< Name of the other process.
-	Endpoint to;                       ///< Its address.
-	TimePoint started;                 ///< When the call was sent.
-	TimePoint rested;                  ///< Since when it rests.
-	Duration keep = IDLE_DEFAULT;      ///< How long it may rest.
+	UpstreamCall call;                            ///< Call under way.
+	uint64_t number = 0;                          ///< Its number; 0 while the connection rests.
+	std::shared_ptr<TcpStream> stream;            ///< Connection.
+	std::string peer;                             ///< Name of the other process.
+	Endpoint to;                                  ///< Its address.
+	TimePoint started;                            ///< When the call was sent.
+	TimePoint idle_since;                         ///< Since when it rests.
+	Duration idle_timeout = DEFAULT_IDLE_TIMEOUT; ///< How long it may rest.
 
 private:
 	void OnData(std::string_view bytes);
@@ -40,28 +41,28 @@
 	void OnComplete();
 	void OnStreamEnd(TcpEnd end, const char *cause);
 	void EndCall(UpstreamEnd end, const char *cause);
-	void Rest();
+	void ReturnToPool();
 
 	HttpUpstream &owner;                          ///< Owner.
 	HttpReader reader{HttpReader::Kind::Answers}; ///< Reads answers.
-	bool mine = false;                            ///< The answer being read is this call's.
+	bool answer_matches = false;                  ///< The answer being read is this call's.
 	bool reusable = false;                        ///< The connection may be kept.
-	bool stray_seen = false;                      ///< An answer of an earlier request came in.
+	bool stray_answer_seen = false;               ///< An answer of an earlier request came in.
 };
 
-UpstreamLink::UpstreamLink(HttpUpstream &owner, std::shared_ptr<TcpStream> stream, std::string peer, const Endpoint &to)
+UpstreamConnection::UpstreamConnection(HttpUpstream &owner, std::shared_ptr<TcpStream> stream, std::string peer, const Endpoint &to)
     : stream(std::move(stream)), peer(std::move(peer)), to(to), owner(owner)
 {
 	this->reader.on_head = [this](HttpHead &&head) { this->OnHead(std::move(head)); };
 	this->reader.on_body = [this](std::string_view bytes) {
-		if (this->mine && this->number != 0 && this->call.on_body) this->call.on_body(bytes);
+		if (this->answer_matches && this->number != 0 && this->call.on_body) this->call.on_body(bytes);
 	};
 	this->reader.on_complete = [this] { this->OnComplete(); };
 }
 
-void UpstreamLink::Begin()
+void UpstreamConnection::Begin()
 {
-	std::weak_ptr<UpstreamLink> weak = this->weak_from_this();
+	std::weak_ptr<UpstreamConnection> weak = this->weak_from_this();
 	this->stream->on_data = [weak](std::string_view bytes) {
 		if (auto self = weak.lock()) self->OnData(bytes);
 	};
@@ -70,11 +71,11 @@
 	};
 }
 
-void UpstreamLink::Send(uint64_t call_number, UpstreamCall to_send)
+void UpstreamConnection::Send(uint64_t call_number, UpstreamCall to_send)
 {
 	this->call = std::move(to_send);
 	this->number = call_number;
-	this->mine = false;
+	this->answer_matches = false;
 	this->reusable = false;
 	this->started = MonotonicNow();
 	this->reader.Resume();
@@ -90,82 +91,82 @@
 	this->stream->Write(std::move(out));
 }
 
-void UpstreamLink::OnHead(HttpHead &&head)
+void UpstreamConnection::OnHead(HttpHead &&head)
 {
 	if (this->number == 0) return;
-	this->mine = false;
+	this->answer_matches = false;
 	if (head.status / 100 == 1) return;
 	if (this->call.on_head && !this->call.on_head(head)) {
-		this->stray_seen = true;
-		this->owner.counters.strays++;
+		this->stray_answer_seen = true;
+		this->owner.counters.stray_answers++;
 		return;
 	}
-	this->mine = true;
+	this->answer_matches = true;
 	this->reusable = head.keep_alive && (head.length || head.chunked || head.status == 204 || head.status == 304);
 	std::string_view hint = FindHeader(head.headers, "keep-alive");
 	size_t at = hint.find("timeout=");
 	int seconds = 0;
 	if (at != std::string_view::npos) {
 		std::from_chars(hint.data() + at + 8, hint.data() + hint.size(), seconds);
-		this->keep = std::max<Duration>(Duration(0), std::chrono::seconds(seconds) - IDLE_MARGIN);
+		this->idle_timeout = std::max<Duration>(Duration(0), std::chrono::seconds(seconds) - IDLE_MARGIN);
 	}
 }
 
-void UpstreamLink::OnData(std::string_view bytes)
+void UpstreamConnection::OnData(std::string_view bytes)
 {
 	auto keep_alive = this->shared_from_this();
 	if (this->number == 0) {
 		// Bytes on a connection at rest belong to no request.
-		this->owner.counters.strays++;
+		this->owner.counters.stray_answers++;
 		return this->Close();
 	}
 	if (this->reader.Add(bytes)) return;
 	this->EndCall(UpstreamEnd::Broken, "bytes that form no answer");
 }
 
-void UpstreamLink::OnComplete()
+void UpstreamConnection::OnComplete()
 {
 	if (this->number == 0) return;
-	if (this->mine) return this->EndCall(UpstreamEnd::Complete, "");
+	if (this->answer_matches) return this->EndCall(UpstreamEnd::Complete, "");
 	// An interim answer, or one of an earlier request: ours is still to come.
 	if (!this->reader.Resume()) this->EndCall(UpstreamEnd::Broken, "bytes that form no answer");
 }
 
 /** @return How a call ended whose connection ended with \a end before its answer was whole. */
-static UpstreamEnd EndOf(TcpEnd end)
+static UpstreamEnd ToUpstreamEnd(TcpEnd end)
 {
 	if (end == TcpEnd::Refused) return UpstreamEnd::Refused;
 	return end == TcpEnd::Failed ? UpstreamEnd::NotSent : UpstreamEnd::Broken;
 }
 
-void UpstreamLink::OnStreamEnd(TcpEnd end, const char *cause)
+void UpstreamConnection::OnStreamEnd(TcpEnd end, const char *cause)
 {
 	auto keep_alive = this->shared_from_this();
 	if (this->number == 0) return this->Close();
-	if (end == TcpEnd::Closed) this->reader.AddEnd();
-	if (this->number != 0) this->EndCall(EndOf(end), cause);
+	if (end == TcpEnd::Closed) this->reader.AddEof();
+	if (this->number != 0) this->EndCall(ToUpstreamEnd(end), cause);
 }
 
-void UpstreamLink::EndCall(UpstreamEnd end, const char *cause)
+void UpstreamConnection::EndCall(UpstreamEnd end, const char *cause)
 {
 	auto keep_alive = this->shared_from_this();
 	this->owner.active.erase(this->number);
 	this->number = 0;
-	auto told = std::move(this->call.on_end);
-	bool keep_it = end == UpstreamEnd::Complete && this->reusable && !this->stray_seen && !this->stream->IsClosed();
-	keep_it = keep_it && this->reader.Kept() == 0 && this->stream->Backlog() == 0;
-	if (keep_it) {
-		this->Rest();
+	auto on_end_callback = std::move(this->call.on_end);
+	bool reuse = end == UpstreamEnd::Complete && this->reusable && !this->stray_answer_seen && !this->stream->IsClosed();
+	reuse = reuse && this->reader.BufferedBytes() == 0 && this->stream->Backlog() == 0;
+	if (reuse) {
+		this->ReturnToPool();
 	} else {
 		this->Close();
 	}
-	if (told) told(end, cause);
+	if (on_end_callback) on_end_callback(end, cause);
 }
 
-void UpstreamLink::Rest()
+void UpstreamConnection::ReturnToPool()
 {
 	this->call = UpstreamCall{};
-	this->rested = MonotonicNow();
+	this->idle_since = MonotonicNow();
 	auto &list = this->owner.idle[this->peer];
 	list.push_back(this->shared_from_this());
 	if (list.size() <= MAX_IDLE_PER_PEER) return;
@@ -174,7 +175,7 @@
 	oldest->stream->Close();
 }
 
-void UpstreamLink::Close()
+void UpstreamConnection::Close()
 {
 	auto keep_alive = this->shared_from_this();
 	this->stream->Close();
@@ -189,14 +190,15 @@
 	this->Shutdown();
 }
 
-std::shared_ptr<UpstreamLink> HttpUpstream::TakeIdle(const UpstreamCall &call, TimePoint now)
+std::shared_ptr<UpstreamConnection> HttpUpstream::AcquireIdle(const UpstreamCall &call, TimePoint now)
 {
 	auto found = this->idle.find(call.peer);
-	if (found == this->idle.end() || call.reuse_rest == Duration(0)) return nullptr;
+	if (found == this->idle.end() || call.max_reuse_idle == Duration(0)) return nullptr;
 	// The one that rested least is the least likely to be closed by the other side just now.
-	std::shared_ptr<UpstreamLink> link = found->second.back();
-	Duration rest = now - link->rested;
-	if (link->to != call.to || rest > call.reuse_rest || rest > link->keep || link->stream->IsClosed()) return nullptr;
+	std::shared_ptr<UpstreamConnection> link = found->second.back();
+	Duration idle_time = now - link->idle_since;
+	if (link->to != call.to || idle_time > call.max_reuse_idle || idle_time > link->idle_timeout || link->stream->IsClosed())
+		return nullptr;
 	found->second.pop_back();
 	if (found->second.empty()) this->idle.erase(found);
 	return link;
@@ -206,10 +208,10 @@
 {
 	uint64_t number = this->next++;
 	this->counters.calls++;
-	std::shared_ptr<UpstreamLink> link = this->TakeIdle(call, MonotonicNow());
+	std::shared_ptr<UpstreamConnection> link = this->AcquireIdle(call, MonotonicNow());
 	if (!link) {
 		this->counters.connects++;
-		link = std::make_shared<UpstreamLink>(*this, TcpStream::Connect(this->loop, call.to), call.peer, call.to);
+		link = std::make_shared<UpstreamConnection>(*this, TcpStream::Connect(this->loop, call.to), call.peer, call.to);
 		link->Begin();
 	}
 	this->active.emplace(number, link);
@@ -221,7 +223,7 @@
 {
 	auto found = this->active.find(call);
 	if (found == this->active.end()) return;
-	std::shared_ptr<UpstreamLink> link = found->second;
+	std::shared_ptr<UpstreamConnection> link = found->second;
 	this->active.erase(found);
 	link->number = 0;
 	link->stream->Abort();
@@ -240,29 +242,29 @@
 	if (found != this->active.end()) found->second->stream->SetReading(reading);
 }
 
-void HttpUpstream::Drop(const std::string &peer)
+void HttpUpstream::CloseIdle(const std::string &peer)
 {
 	auto found = this->idle.find(peer);
 	if (found == this->idle.end()) return;
-	std::list<std::shared_ptr<UpstreamLink>> links = std::move(found->second);
+	std::list<std::shared_ptr<UpstreamConnection>> links = std::move(found->second);
 	this->idle.erase(found);
 	for (const auto &link : links) link->stream->Close();
 }
 
 void HttpUpstream::OnTick(TimePoint now)
 {
-	std::vector<std::shared_ptr<UpstreamLink>> late;
+	std::vector<std::shared_ptr<UpstreamConnection>> timed_out;
 	for (const auto &[number, link] : this->active) {
-		if (!link->stream->WasOpen() && now - link->started > link->call.connect_limit) late.push_back(link);
+		if (!link->stream->WasOpen() && now - link->started > link->call.connect_timeout) timed_out.push_back(link);
 	}
-	for (const auto &link : late) {
-		auto told = std::move(link->call.on_end);
+	for (const auto &link : timed_out) {
+		auto on_end_callback = std::move(link->call.on_end);
 		this->Cancel(link->number);
-		if (told) told(UpstreamEnd::NotSent, "no connection in time");
+		if (on_end_callback) on_end_callback(UpstreamEnd::NotSent, "no connection in time");
 	}
 	for (auto peer = this->idle.begin(); peer != this->idle.end();) {
 		auto &links = peer->second;
-		while (!links.empty() && now - links.front()->rested > links.front()->keep) {
+		while (!links.empty() && now - links.front()->idle_since > links.front()->idle_timeout) {
 			links.front()->stream->Close();
 			links.pop_front();
 		}
--- a/src/net/http_upstream.h
+++ b/src/net/http_upstream.h
@@ -11,7 +11,7 @@
 
 namespace cottonspool {
 
-class UpstreamLink;
+class UpstreamConnection;
 
 /** How a call ended. */
 enum class UpstreamEnd : uint8_t {
@@ -22,21 +22,21 @@
 };
 
 /** @return Whether it is certain that no byte of a call has left that ended with \a end. */
-inline bool IsUnsent(UpstreamEnd end)
+inline bool IsCertainlyUnsent(UpstreamEnd end)
 {
 	return end == UpstreamEnd::NotSent || end == UpstreamEnd::Refused;
 }
 
 /** One call to make. Its functions are called from the loop, never from inside Start(). */
 struct UpstreamCall {
-	Endpoint to;                                             ///< Where to.
-	std::string peer;                                        ///< Name of the other process: a connection is kept for the same one only.
-	std::string method = "GET";                              ///< Method.
-	std::string target = "/";                                ///< Path with the query.
-	HttpHeaders headers;                                     ///< Header fields; the length is added.
-	std::string body;                                        ///< Body.
-	Duration connect_limit = std::chrono::milliseconds(500); ///< Longest time to connect.
-	Duration reuse_rest = std::chrono::seconds(4);           ///< Longest rest of a connection that may be used; zero asks for a fresh one.
+	Endpoint to;                                               ///< Where to.
+	std::string peer;                                          ///< Name of the other process: a connection is kept for the same one only.
+	std::string method = "GET";                                ///< Method.
+	std::string target = "/";                                  ///< Path with the query.
+	HttpHeaders headers;                                       ///< Header fields; the length is added.
+	std::string body;                                          ///< Body.
+	Duration connect_timeout = std::chrono::milliseconds(500); ///< Longest time to connect.
+	Duration max_reuse_idle = std::chrono::seconds(4);     ///< Longest rest of a connection that may be used; zero asks for a fresh one.
 	std::function<bool(const HttpHead &)> on_head;         ///< Head of an answer; false if it belongs to an earlier request: it is dropped.
 	std::function<void(std::string_view)> on_body;         ///< A part of the body.
 	std::function<void(UpstreamEnd, const char *)> on_end; ///< It is over; the text is the cause.
@@ -44,9 +44,9 @@
 
 /** Counters of upstream connections. */
 struct UpstreamCounters {
-	uint64_t calls = 0;    ///< Calls started.
-	uint64_t connects = 0; ///< Connections opened.
-	uint64_t strays = 0;   ///< Answers dropped since they belonged to an earlier request.
+	uint64_t calls = 0;         ///< Calls started.
+	uint64_t connects = 0;      ///< Connections opened.
+	uint64_t stray_answers = 0; ///< Answers dropped since they belonged to an earlier request.
 };
 
 /** Makes calls and keeps connections. */
@@ -70,7 +70,7 @@
 	void SetReading(uint64_t call, bool reading);
 
 	/** Close the kept connections to \a peer. */
-	void Drop(const std::string &peer);
+	void CloseIdle(const std::string &peer);
 
 	/** Time has passed; to be called some times a second. */
 	void OnTick(TimePoint now);
@@ -82,15 +82,15 @@
 	const UpstreamCounters &Counters() const { return this->counters; }
 
 private:
-	std::shared_ptr<UpstreamLink> TakeIdle(const UpstreamCall &call, TimePoint now);
+	std::shared_ptr<UpstreamConnection> AcquireIdle(const UpstreamCall &call, TimePoint now);
 
-	uv_loop_s *loop;                                                      ///< Loop.
-	std::map<uint64_t, std::shared_ptr<UpstreamLink>> active;             ///< Connections with a call.
-	std::map<std::string, std::list<std::shared_ptr<UpstreamLink>>> idle; ///< Kept connections by peer.
-	uint64_t next = 1;                                                    ///< Number of the next call.
-	UpstreamCounters counters;                                            ///< Counters.
+	uv_loop_s *loop;                                                            ///< Loop.
+	std::map<uint64_t, std::shared_ptr<UpstreamConnection>> active;             ///< Connections with a call.
+	std::map<std::string, std::list<std::shared_ptr<UpstreamConnection>>> idle; ///< Kept connections by peer.
+	uint64_t next = 1;                                                          ///< Number of the next call.
+	UpstreamCounters counters;                                                  ///< Counters.
 
-	friend class UpstreamLink;
+	friend class UpstreamConnection;
 };
 
 } // namespace cottonspool
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -11,12 +11,12 @@
 
 namespace cottonspool {
 
-static constexpr size_t READ_BUFFER = 64U << 10;          ///< Bytes read at once.
-static constexpr int LISTEN_BACKLOG = 1024;               ///< Connections that may wait to be accepted.
-static constexpr unsigned int UNANSWERED_BYTES_MS = 4000; ///< Time without an acknowledgement after which a connection is dead.
-static constexpr unsigned int KEEPALIVE_IDLE_S = 3;       ///< Silence after which the other side is probed; finds paths cut without notice.
-static constexpr int KEEPALIVE_INTERVAL_S = 1;            ///< Time between such probes.
-static constexpr int KEEPALIVE_PROBES = 3;                ///< Unanswered probes after which a connection is dead.
+static constexpr size_t READ_BUFFER = 64U << 10;      ///< Bytes read at once.
+static constexpr int LISTEN_BACKLOG = 1024;           ///< Connections that may wait to be accepted.
+static constexpr unsigned int USER_TIMEOUT_MS = 4000; ///< Time without an acknowledgement after which a connection is dead.
+static constexpr unsigned int KEEPALIVE_IDLE_S = 3;   ///< Silence after which the other side is probed; finds paths cut without notice.
+static constexpr int KEEPALIVE_INTERVAL_S = 1;        ///< Time between such probes.
+static constexpr int KEEPALIVE_PROBES = 3;            ///< Unanswered probes after which a connection is dead.
 
 Result<Endpoint> ParseEndpoint(std::string_view text)
 {
@@ -75,13 +75,13 @@
 		auto *timer = new uv_timer_t;
 		uv_timer_init(loop, timer);
 		timer->data = new std::pair<std::weak_ptr<TcpStream>, int>(stream, failed);
-		auto fire = [](uv_timer_t *t) {
-			auto *what = static_cast<std::pair<std::weak_ptr<TcpStream>, int> *>(t->data);
-			if (auto self = what->first.lock(); self && !self->closed) self->End(TcpEnd::Failed, uv_strerror(what->second));
-			delete what;
+		auto report_failure = [](uv_timer_t *t) {
+			auto *failure = static_cast<std::pair<std::weak_ptr<TcpStream>, int> *>(t->data);
+			if (auto self = failure->first.lock(); self && !self->closed) self->End(TcpEnd::Failed, uv_strerror(failure->second));
+			delete failure;
 			uv_close(reinterpret_cast<uv_handle_t *>(t), [](uv_handle_t *h) { delete reinterpret_cast<uv_timer_t *>(h); });
 		};
-		uv_timer_start(timer, fire, 0, 0);
+		uv_timer_start(timer, report_failure, 0, 0);
 	}
 	return stream;
 }
@@ -108,7 +108,7 @@
 	uv_tcp_keepalive(&this->handle->tcp, 1, KEEPALIVE_IDLE_S);
 	uv_os_fd_t fd = -1;
 	if (uv_fileno(reinterpret_cast<uv_handle_t *>(&this->handle->tcp), &fd) != 0) return;
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &UNANSWERED_BYTES_MS, sizeof(UNANSWERED_BYTES_MS));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &USER_TIMEOUT_MS, sizeof(USER_TIMEOUT_MS));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &KEEPALIVE_INTERVAL_S, sizeof(KEEPALIVE_INTERVAL_S));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &KEEPALIVE_PROBES, sizeof(KEEPALIVE_PROBES));
 }
@@ -141,8 +141,8 @@
 void TcpStream::OnRead(long length, const char *bytes)
 {
 	if (length == 0 || this->closed) return;
-	auto keep = this->shared_from_this();
-	if (length < 0 && this->finishing) return this->SetReading(false);
+	auto self_reference = this->shared_from_this();
+	if (length < 0 && this->closing_after_writes) return this->SetReading(false);
 	if (length == UV_EOF && !this->IsReset()) return this->End(TcpEnd::Closed, "closed by the other side");
 	if (length == UV_EOF) return this->End(TcpEnd::Reset, "reset by the other side");
 	if (length < 0) return this->End(TcpEnd::Reset, uv_strerror(static_cast<int>(length)));
@@ -151,9 +151,9 @@
 
 void TcpStream::End(TcpEnd end, const char *cause)
 {
-	auto keep = this->shared_from_this();
+	auto self_reference = this->shared_from_this();
 	this->Close();
-	if (this->on_end && !this->finishing) this->on_end(end, cause);
+	if (this->on_end && !this->closing_after_writes) this->on_end(end, cause);
 }
 
 void TcpStream::Write(std::string bytes)
@@ -181,7 +181,7 @@
 void TcpStream::OnWritten(int status)
 {
 	if (this->closed) return;
-	auto keep = this->shared_from_this();
+	auto self_reference = this->shared_from_this();
 	if (status < 0) return this->End(this->opened ? TcpEnd::Reset : TcpEnd::Failed, uv_strerror(status));
 	if (this->Backlog() == 0 && this->on_drained) this->on_drained();
 }
@@ -218,8 +218,8 @@
 
 void TcpStream::CloseAfterWrites()
 {
-	if (this->closed || this->finishing) return;
-	this->finishing = true;
+	if (this->closed || this->closing_after_writes) return;
+	this->closing_after_writes = true;
 	this->handle->shutdown.data = this;
 	auto done = [](uv_shutdown_t *request, int) {
 		auto *self = static_cast<TcpStream *>(request->data);
@@ -234,7 +234,8 @@
 	this->closed = true;
 	auto *handle_base = reinterpret_cast<uv_handle_t *>(&this->handle->tcp);
 	if (uv_is_closing(handle_base)) return;
-	if (!this->opened || this->finishing || uv_tcp_close_reset(&this->handle->tcp, FreeHandle) != 0) uv_close(handle_base, FreeHandle);
+	if (!this->opened || this->closing_after_writes || uv_tcp_close_reset(&this->handle->tcp, FreeHandle) != 0)
+		uv_close(handle_base, FreeHandle);
 }
 
 /** libuv's handle of a listener. */
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -92,12 +92,12 @@
 	void SetOptions();
 	bool IsReset() const;
 
-	Handle *handle;         ///< libuv's handle; freed by its close callback.
-	bool opened = false;    ///< Was connected.
-	bool closed = false;    ///< Close() was called or the other side ended it.
-	bool reading = false;   ///< Bytes are being read.
-	bool want_read = true;  ///< Reading is wanted.
-	bool finishing = false; ///< To be closed once everything is written.
+	Handle *handle;                    ///< libuv's handle; freed by its close callback.
+	bool opened = false;               ///< Was connected.
+	bool closed = false;               ///< Close() was called or the other side ended it.
+	bool reading = false;              ///< Bytes are being read.
+	bool want_read = true;             ///< Reading is wanted.
+	bool closing_after_writes = false; ///< To be closed once everything is written.
 
 	friend class TcpListener;
 };
--- a/src/operator/explain_log.cpp
+++ b/src/operator/explain_log.cpp
@@ -11,14 +11,14 @@
 
 namespace cottonspool {
 
-static constexpr double EARLIER_MS = 5000; ///< Changes of belief are shown from this long before the request came.
+static constexpr double CONTEXT_BEFORE_MS = 5000; ///< Changes of belief are shown from this long before the request came.
 
 /** Events that change what an instance believes, and so bear on requests without naming one. */
-static const std::set<std::string> BELIEFS{"target-leaving", "store-lost", "store-regained", "store-other",
-                                           "configuration",  "stopping",   "scope"};
+static const std::set<std::string> CONTEXT_EVENTS{"target-leaving", "store-lost", "store-regained", "store-other",
+                                                  "configuration",  "stopping",   "scope"};
 
 /** Outcomes that need no look at other lines, in words. */
-static const std::map<std::string, std::string> PLAIN_CAUSES{
+static const std::map<std::string, std::string> OUTCOME_TEXTS{
         {"caller-gone", "the caller left before the answer was whole"},
         {"no-target", "no target could be reached; it was not run, unless a send before that says maybe"},
         {"deadline-passed", "no target had room within the time it could wait"},
@@ -53,42 +53,42 @@
 	return line;
 }
 
-void RequestStory::Add(std::istream &log)
+void RequestTrace::Add(std::istream &log)
 {
 	for (std::string text; std::getline(log, text);) {
 		std::optional<LogLine> line = ParseLogLine(text);
 		if (!line) continue;
 		if (line->Field("request") == this->request) {
 			this->lines.push_back(std::move(*line));
-		} else if (BELIEFS.contains(line->event)) {
-			this->beliefs.push_back(std::move(*line));
+		} else if (CONTEXT_EVENTS.contains(line->event)) {
+			this->context_lines.push_back(std::move(*line));
 		}
 	}
 }
 
-const LogLine *RequestStory::Last(const std::string &event) const
+const LogLine *RequestTrace::Last(const std::string &event) const
 {
 	auto found = std::find_if(this->lines.rbegin(), this->lines.rend(), [&](const LogLine &line) { return line.event == event; });
 	return found == this->lines.rend() ? nullptr : &*found;
 }
 
-const LogLine *RequestStory::NoticeOf(const std::string &target, double before_ms) const
+const LogLine *RequestTrace::FindDrainNotice(const std::string &target, double before_ms) const
 {
 	const std::string &instance = this->lines.front().instance;
-	auto found = std::find_if(this->beliefs.begin(), this->beliefs.end(), [&](const LogLine &line) {
+	auto found = std::find_if(this->context_lines.begin(), this->context_lines.end(), [&](const LogLine &line) {
 		return line.event == "target-leaving" && line.instance == instance && line.Field("target") == target && line.at_ms <= before_ms;
 	});
-	return found == this->beliefs.end() ? nullptr : &*found;
+	return found == this->context_lines.end() ? nullptr : &*found;
 }
 
-std::string RequestStory::CauseOfLoss(const LogLine &finished) const
+std::string RequestTrace::ExplainLoss(const LogLine &finished) const
 {
 	const LogLine *lost = this->Last("run-lost");
 	const LogLine *ended = lost != nullptr ? lost : this->Last("send-ended");
 	if (ended == nullptr) return finished.Field("outcome");
 	std::string target = ended->Field("target");
 	std::string text = target + " was lost (" + ended->Field("cause") + ")";
-	if (const LogLine *notice = this->NoticeOf(target, ended->at_ms)) {
+	if (const LogLine *notice = this->FindDrainNotice(target, ended->at_ms)) {
 		std::ostringstream told;
 		told << " " << std::fixed << std::setprecision(1) << (ended->at_ms - notice->at_ms) / 1000 << " s after it was known to leave ("
 		     << notice->Field("source") << ")";
@@ -102,12 +102,13 @@
 	return text;
 }
 
-std::string RequestStory::Cause() const
+std::string RequestTrace::Cause() const
 {
 	if (this->lines.empty()) return "no line tells of it";
 	if (const LogLine *refused = this->Last("refused")) {
-		auto known = PLAIN_CAUSES.find(refused->Field("reason"));
-		return "refused with " + refused->Field("status") + ": " + (known != PLAIN_CAUSES.end() ? known->second : refused->Field("reason"));
+		auto known = OUTCOME_TEXTS.find(refused->Field("reason"));
+		return "refused with " + refused->Field("status") + ": " +
+		       (known != OUTCOME_TEXTS.end() ? known->second : refused->Field("reason"));
 	}
 	const LogLine *finished = this->Last("finished");
 	if (finished == nullptr) return "not answered by the end of the logs: the instance died, or the request is still being served";
@@ -117,11 +118,11 @@
 	std::string after = " after " + finished->Field("ms") + " ms";
 	if (outcome == "answered") return "answered with " + status + " by " + (sent != nullptr ? sent->Field("target") : "a target") + after;
 	std::string how = status == "0" ? "broken off" : "answered with " + status;
-	auto known = PLAIN_CAUSES.find(outcome);
-	return how + after + ": " + (known != PLAIN_CAUSES.end() ? known->second : this->CauseOfLoss(*finished));
+	auto known = OUTCOME_TEXTS.find(outcome);
+	return how + after + ": " + (known != OUTCOME_TEXTS.end() ? known->second : this->ExplainLoss(*finished));
 }
 
-std::vector<LogLine> RequestStory::Related() const
+std::vector<LogLine> RequestTrace::Related() const
 {
 	std::set<std::string> targets;
 	std::set<std::string> instances;
@@ -129,10 +130,10 @@
 		instances.insert(line.instance);
 		for (const char *field : {"target", "from", "to"}) targets.insert(line.Field(field));
 	}
-	double first = this->lines.front().at_ms - EARLIER_MS;
+	double first = this->lines.front().at_ms - CONTEXT_BEFORE_MS;
 	double last = this->lines.back().at_ms;
 	std::vector<LogLine> related = this->lines;
-	for (const LogLine &line : this->beliefs) {
+	for (const LogLine &line : this->context_lines) {
 		bool near = instances.contains(line.instance) && line.at_ms >= first && line.at_ms <= last;
 		bool bears = line.event != "target-leaving" || targets.contains(line.Field("target"));
 		if (near && bears) related.push_back(line);
@@ -143,7 +144,7 @@
 	return related;
 }
 
-std::string RequestStory::Text() const
+std::string RequestTrace::Text() const
 {
 	std::ostringstream text;
 	text << this->request << ": " << this->Cause() << "\n";
--- a/src/operator/explain_log.h
+++ b/src/operator/explain_log.h
@@ -27,9 +27,9 @@
 std::optional<LogLine> ParseLogLine(const std::string &text);
 
 /** Collects what the logs of several instances tell about one request. */
-class RequestStory {
+class RequestTrace {
 public:
-	explicit RequestStory(std::string request) : request(std::move(request)) {}
+	explicit RequestTrace(std::string request) : request(std::move(request)) {}
 
 	/** Take in a log. */
 	void Add(std::istream &log);
@@ -49,12 +49,12 @@
 	/** @return Lines that bear on the request, in order. */
 	std::vector<LogLine> Related() const;
 	/** @return The notice that \a target leaves, as its instance learned it by \a before_ms; null if there is none. */
-	const LogLine *NoticeOf(const std::string &target, double before_ms) const;
-	std::string CauseOfLoss(const LogLine &finished) const;
+	const LogLine *FindDrainNotice(const std::string &target, double before_ms) const;
+	std::string ExplainLoss(const LogLine &finished) const;
 
-	std::string request;          ///< Id of the request.
-	std::vector<LogLine> lines;   ///< Lines with its id.
-	std::vector<LogLine> beliefs; ///< Lines on targets, the store and the configuration, of all instances.
+	std::string request;                ///< Id of the request.
+	std::vector<LogLine> lines;         ///< Lines with its id.
+	std::vector<LogLine> context_lines; ///< Lines on targets, the store and the configuration, of all instances.
 };
 
 } // namespace cottonspool
--- a/src/operator/operator.cpp
+++ b/src/operator/operator.cpp
@@ -21,7 +21,7 @@
 using Json = nlohmann::json;
 
 static constexpr long CALL_LIMIT_MS = 30000;                       ///< Longest time of one call.
-static constexpr int APPLY_TRIES = 5;                              ///< Most sends of one change; its id makes repeats harmless.
+static constexpr int MAX_APPLY_ATTEMPTS = 5;                       ///< Most sends of one change; its id makes repeats harmless.
 static constexpr auto POLL_PAUSE = std::chrono::milliseconds(200); ///< Pause between looks while waiting.
 
 /** Answer of an instance; status 0 when there was none. */
@@ -38,7 +38,7 @@
 }
 
 /** Ask one instance. */
-static Answer Ask(const OperatorOptions &options, const std::string &server, const std::string &path, const std::string *body)
+static Answer SendRequest(const OperatorOptions &options, const std::string &server, const std::string &path, const std::string *body)
 {
 	Answer answer;
 	CURL *easy = curl_easy_init();
@@ -59,26 +59,26 @@
 }
 
 /** Ask the first instance that answers. */
-static Answer AskAny(const OperatorOptions &options, const std::string &path)
+static Answer SendToAny(const OperatorOptions &options, const std::string &path)
 {
 	Answer answer;
 	answer.error = "no --server given";
 	for (const std::string &server : options.servers) {
-		answer = Ask(options, server, path, nullptr);
+		answer = SendRequest(options, server, path, nullptr);
 		if (answer.status != 0) return answer;
 	}
 	return answer;
 }
 
 /** Print an error in one line. @return The exit code. */
-static int Complain(const std::string &what, int code = EXIT_FAILED)
+static int PrintError(const std::string &what, int code = EXIT_FAILED)
 {
 	std::cerr << "cottonspool: " << what << std::endl;
 	return code;
 }
 
 /** @return What an answer says went wrong. */
-static std::string Wrong(const Answer &answer)
+static std::string DescribeFailure(const Answer &answer)
 {
 	if (answer.status == 0) return answer.error;
 	Json body = Json::parse(answer.body, nullptr, false);
@@ -104,11 +104,11 @@
 }
 
 /** Run the policy in \a record on sample input and print what it would decide. */
-static Result<void> TryPolicy(const RecordChange &record)
+static Result<void> TestPolicy(const RecordChange &record)
 {
 	PolicyEngine engine({});
 	BOOST_OUTCOME_TRYV(engine.Load(ParsePolicy(record.name, record.content).value().program));
-	BOOST_OUTCOME_TRY(lines, engine.Try());
+	BOOST_OUTCOME_TRY(lines, engine.DryRun());
 	std::cout << "policy " << record.name << " would decide:\n";
 	for (const std::string &line : lines) std::cout << "  " << line << "\n";
 	return outcome::success();
@@ -121,7 +121,7 @@
 		if (record.removed) continue;
 		BOOST_OUTCOME_TRYV(CheckRecordSchema(record));
 		if (record.kind != RecordKind::Policy) continue;
-		BOOST_OUTCOME_TRYV(TryPolicy(record));
+		BOOST_OUTCOME_TRYV(TestPolicy(record));
 	}
 	return outcome::success();
 }
@@ -129,20 +129,20 @@
 int RunCheck(const std::string &file)
 {
 	Result<Change> change = ReadChangeFile(file);
-	if (!change) return Complain(FormatError(change.error()));
+	if (!change) return PrintError(FormatError(change.error()));
 	Result<void> checked = CheckRecords(change.value());
-	if (!checked) return Complain(FormatError(checked.error()));
+	if (!checked) return PrintError(FormatError(checked.error()));
 	std::cout << file << ": " << change.value().records.size() << " records, as far as can be told without the instances all right"
 	          << std::endl;
 	return EXIT_OK;
 }
 
 /** @return The names of the instances that \a options name, or that these see, where \a sequence is not in force yet. */
-static std::set<std::string> Behind(const OperatorOptions &options, uint64_t sequence)
+static std::set<std::string> InstancesBehind(const OperatorOptions &options, uint64_t sequence)
 {
 	std::set<std::string> behind;
 	for (const std::string &server : options.servers) {
-		Json status = Json::parse(Ask(options, server, "/operator/status", nullptr).body, nullptr, false);
+		Json status = Json::parse(SendRequest(options, server, "/operator/status", nullptr).body, nullptr, false);
 		if (!status.is_object()) {
 			behind.insert(server);
 			continue;
@@ -156,18 +156,18 @@
 }
 
 /** Wait until \a sequence is in force at every instance. @return Whether it came to that. */
-static bool WaitInForce(const OperatorOptions &options, uint64_t sequence)
+static bool WaitUntilInForce(const OperatorOptions &options, uint64_t sequence)
 {
 	auto end = std::chrono::steady_clock::now() + options.wait;
-	std::set<std::string> behind = Behind(options, sequence);
+	std::set<std::string> behind = InstancesBehind(options, sequence);
 	while (!behind.empty() && std::chrono::steady_clock::now() < end) {
 		std::this_thread::sleep_for(POLL_PAUSE);
-		behind = Behind(options, sequence);
+		behind = InstancesBehind(options, sequence);
 	}
 	if (behind.empty()) return true;
 	std::string names;
 	for (const std::string &name : behind) names += " " + name;
-	Complain("sequence " + std::to_string(sequence) + " is accepted but not yet seen in force at:" + names);
+	PrintError("sequence " + std::to_string(sequence) + " is accepted but not yet seen in force at:" + names);
 	return false;
 }
 
@@ -175,50 +175,50 @@
 static int SendChange(const OperatorOptions &options, Change change)
 {
 	if (change.base == 0) {
-		Answer status = AskAny(options, "/operator/status");
-		if (status.status != 200) return Complain(Wrong(status));
+		Answer status = SendToAny(options, "/operator/status");
+		if (status.status != 200) return PrintError(DescribeFailure(status));
 		change.base = Json::parse(status.body, nullptr, false).value("sequence", 0ULL);
 	}
 	std::string body = FormatChange(change);
 	bool doubtful = false;
 	std::string last = "no --server given";
-	for (int i = 0; i < APPLY_TRIES && !options.servers.empty(); i++) {
-		Answer answer = Ask(options, options.servers[static_cast<size_t>(i) % options.servers.size()], "/operator/apply", &body);
+	for (int i = 0; i < MAX_APPLY_ATTEMPTS && !options.servers.empty(); i++) {
+		Answer answer = SendRequest(options, options.servers[static_cast<size_t>(i) % options.servers.size()], "/operator/apply", &body);
 		Json said = Json::parse(answer.body, nullptr, false);
 		if (answer.status == 200) {
 			uint64_t sequence = said.value("sequence", 0ULL);
 			std::cout << "accepted as sequence " << sequence << (said.value("repeated", false) ? " (before)" : "") << ", change "
 			          << change.id << std::endl;
-			if (options.wait > Duration{0} && !WaitInForce(options, sequence)) return EXIT_FAILED;
+			if (options.wait > Duration{0} && !WaitUntilInForce(options, sequence)) return EXIT_FAILED;
 			return EXIT_OK;
 		}
 		if (answer.status == 409) {
 			const Json &other = said["conflict"];
-			return Complain("conflict: sequence " + std::to_string(other.value("sequence", 0ULL)) + ", change " +
-			                        other.value("change", "") + " by " + other.value("author", "") +
-			                        " touched the same records after your base " + std::to_string(change.base),
-			                EXIT_CONFLICT);
+			return PrintError("conflict: sequence " + std::to_string(other.value("sequence", 0ULL)) + ", change " +
+			                          other.value("change", "") + " by " + other.value("author", "") +
+			                          " touched the same records after your base " + std::to_string(change.base),
+			                  EXIT_CONFLICT);
 		}
-		if (answer.status >= 400 && answer.status < 500) return Complain(Wrong(answer));
+		if (answer.status >= 400 && answer.status < 500) return PrintError(DescribeFailure(answer));
 		doubtful = doubtful || answer.status != 503;
-		last = Wrong(answer);
+		last = DescribeFailure(answer);
 		std::this_thread::sleep_for(POLL_PAUSE);
 	}
-	if (!doubtful) return Complain("not accepted: " + last);
-	return Complain("it is not known whether the change was accepted; repeat with id = \"" + change.id + "\": " + last, EXIT_UNKNOWN);
+	if (!doubtful) return PrintError("not accepted: " + last);
+	return PrintError("it is not known whether the change was accepted; repeat with id = \"" + change.id + "\": " + last, EXIT_UNKNOWN);
 }
 
 int RunApply(const OperatorOptions &options, const std::string &file)
 {
 	Result<Change> change = ReadChangeFile(file);
-	if (!change) return Complain(FormatError(change.error()));
+	if (!change) return PrintError(FormatError(change.error()));
 	return SendChange(options, change.value());
 }
 
 int RunShow(const OperatorOptions &options, const std::string &kind, const std::string &name)
 {
-	Answer answer = AskAny(options, "/operator/show?kind=" + kind + "&name=" + name);
-	if (answer.status != 200) return Complain(Wrong(answer));
+	Answer answer = SendToAny(options, "/operator/show?kind=" + kind + "&name=" + name);
+	if (answer.status != 200) return PrintError(DescribeFailure(answer));
 	std::cout << Json::parse(answer.body, nullptr, false).dump(2) << std::endl;
 	return EXIT_OK;
 }
@@ -247,9 +247,9 @@
 	int code = options.servers.empty() ? EXIT_USAGE : EXIT_OK;
 	uint64_t head = 0;
 	for (const std::string &server : options.servers) {
-		Answer answer = Ask(options, server, "/operator/status", nullptr);
+		Answer answer = SendRequest(options, server, "/operator/status", nullptr);
 		if (answer.status != 200) {
-			code = Complain(server + ": " + Wrong(answer));
+			code = PrintError(server + ": " + DescribeFailure(answer));
 			continue;
 		}
 		all.push_back(Json::parse(answer.body, nullptr, false));
@@ -267,7 +267,7 @@
 {
 	int64_t in_flight = 0;
 	for (const std::string &server : options.servers) {
-		Json status = Json::parse(Ask(options, server, "/operator/status", nullptr).body, nullptr, false);
+		Json status = Json::parse(SendRequest(options, server, "/operator/status", nullptr).body, nullptr, false);
 		if (!status.is_object()) return -1;
 		for (const Json &item : status["targets"]) {
 			if (item.value("name", "") == target) in_flight += item.value("in_flight", 0);
@@ -278,10 +278,10 @@
 
 int RunDrain(const OperatorOptions &options, const std::string &target, const std::string &author, bool back)
 {
-	Answer shown = AskAny(options, "/operator/show?kind=target&name=" + target);
+	Answer shown = SendToAny(options, "/operator/show?kind=target&name=" + target);
 	Json records = Json::parse(shown.body, nullptr, false);
-	if (shown.status != 200) return Complain(Wrong(shown));
-	if (!records.is_object() || !records.contains(target)) return Complain("there is no target " + target);
+	if (shown.status != 200) return PrintError(DescribeFailure(shown));
+	if (!records.is_object() || !records.contains(target)) return PrintError("there is no target " + target);
 	Json content = records[target]["content"];
 	content["wish"] = back ? "live" : "leaving";
 	Change change;
@@ -299,20 +299,20 @@
 		std::this_thread::sleep_for(POLL_PAUSE);
 		in_flight = InFlightAt(options, target);
 	}
-	if (in_flight != 0) return Complain(target + " still has calls in flight: " + std::to_string(in_flight));
+	if (in_flight != 0) return PrintError(target + " still has calls in flight: " + std::to_string(in_flight));
 	std::cout << target << " is empty" << std::endl;
 	return EXIT_OK;
 }
 
 int RunExplainLogs(const std::string &request, const std::vector<std::string> &logs)
 {
-	RequestStory story(request);
+	RequestTrace story(request);
 	for (const std::string &path : logs) {
 		std::ifstream file(path);
-		if (path != "-" && !file) return Complain(path + " cannot be read");
+		if (path != "-" && !file) return PrintError(path + " cannot be read");
 		story.Add(path == "-" ? std::cin : file);
 	}
-	if (!story.IsKnown()) return Complain("no line tells of " + request);
+	if (!story.IsKnown()) return PrintError("no line tells of " + request);
 	std::cout << story.Text();
 	return EXIT_OK;
 }
@@ -320,14 +320,14 @@
 int RunExplain(const OperatorOptions &options, const std::string &request)
 {
 	for (const std::string &server : options.servers) {
-		Answer answer = Ask(options, server, "/operator/explain?request=" + request, nullptr);
+		Answer answer = SendRequest(options, server, "/operator/explain?request=" + request, nullptr);
 		if (answer.status != 200) continue;
 		for (const Json &line : Json::parse(answer.body, nullptr, false)) {
 			std::cout << std::right << std::setw(8) << line.value("ms", 0) << " ms  " << line.value("text", "") << "\n";
 		}
 		return EXIT_OK;
 	}
-	return Complain("no instance asked remembers " + request);
+	return PrintError("no instance asked remembers " + request);
 }
 
 } // namespace cottonspool
--- a/src/peer/compressed_message.h
+++ b/src/peer/compressed_message.h
@@ -11,12 +11,12 @@
 
 /** @return \a message, compressed where it is long: whole tables and configurations take an eighth then, and links of 20 Mbit/s are full
  *          with the others. */
-std::string PackMessage(std::string message);
+std::string CompressMessage(std::string message);
 
 /** @return Whether \a bytes are a compressed message; no message in CBOR begins like one. */
-bool IsPacked(const std::string &bytes);
+bool IsCompressed(const std::string &bytes);
 
 /** @return The message in the compressed \a bytes; an error where they hold none, or a longer one than instances send. */
-Result<std::string> UnpackMessage(const std::string &bytes);
+Result<std::string> DecompressMessage(const std::string &bytes);
 
 } // namespace cottonspool
--- a/src/peer/peer_links.cpp
+++ b/src/peer/peer_links.cpp
@@ -105,7 +105,7 @@
 	if (found != this->links.end() && found->second.open) this->SendOn(found->second.session, EncodePeerMessage(message));
 }
 
-LinkState PeerLinks::StateOf(const std::string &address) const
+LinkState PeerLinks::LinkStateOf(const std::string &address) const
 {
 	auto found = this->links.find(address);
 	if (found == this->links.end()) return LinkState::None;
--- a/src/peer/peer_links.h
+++ b/src/peer/peer_links.h
@@ -69,7 +69,7 @@
 	void SendTo(const std::string &address, const PeerMessage &message);
 
 	/** @return How far the link to \a address has come. */
-	LinkState StateOf(const std::string &address) const;
+	LinkState LinkStateOf(const std::string &address) const;
 
 	std::function<void(const std::string &)> on_link_open; ///< Called with the address when a link that this instance dialled can be used.
 	std::function<void(const std::string &)> on_link_closed; ///< Called with the address when such a link has ended.
--- a/src/peer/peer_message.h
+++ b/src/peer/peer_message.h
@@ -17,7 +17,7 @@
 /** Regular news of an instance. */
 struct HeartbeatMessage {
 	std::vector<MemberInfo> members;                      ///< The sender first, then some others it knows.
-	std::vector<LeavingTarget> leaving;                   ///< Targets it knows to leave.
+	std::vector<DrainingTarget> draining;                 ///< Targets it knows to leave.
 	Duration confirmed_age{0};                            ///< Age of its last confirmation that its configuration is the newest.
 	std::vector<std::pair<std::string, uint64_t>> echoes; ///< Peers heard directly, each with the last counter heard of it.
 };
@@ -39,15 +39,15 @@
 
 /** What an instance has read of the store's tables, or that it still does. */
 struct TablesMessage {
-	std::string instance;          ///< Who tells it.
-	std::string hall;              ///< Data hall it stands in.
-	bool relayed = false;          ///< It was passed on by an instance of the receiver's hall.
-	std::vector<TableNews> tables; ///< News by table.
-	std::vector<PoolParts> parts;  ///< How the teller divides targets among cells, if the list of targets is told whole.
+	std::string instance;            ///< Who tells it.
+	std::string hall;                ///< Data hall it stands in.
+	bool forwarded = false;          ///< It was passed on by an instance of the receiver's hall.
+	std::vector<TableUpdate> tables; ///< News by table.
+	std::vector<PoolShards> shards;  ///< How the teller divides targets among cells, if the list of targets is told whole.
 };
 
 /** An instance that has started asks for tables, to read them from nobody else. */
-struct TablesAskMessage {
+struct TablesRequestMessage {
 	std::string instance;            ///< Who asks.
 	std::vector<std::string> tables; ///< Tables.
 };
@@ -55,21 +55,21 @@
 /** Where an instance is, told to each peer when the link to it opens: whoever is dialled thereby knows who dials. */
 struct PresenceMessage {
 	std::string instance;   ///< Who tells it.
-	PeerPlace place;        ///< Where it is.
+	PeerLocation location;  ///< Where it is.
 	uint32_t instances = 0; ///< Instances that the store lists, as far as the teller knows; 0 if it has not read that.
 	CellCount cells;        ///< Into how many cells it divides them.
 };
 
 /** What targets have said of themselves lately. */
-struct SignsMessage {
-	std::string instance;       ///< Who tells it.
-	std::string hall;           ///< Data hall of who heard it first.
-	bool relayed = false;       ///< It was passed on by an instance of the receiver's hall.
-	std::vector<SignNews> news; ///< By target.
+struct SignalsMessage {
+	std::string instance;                 ///< Who tells it.
+	std::string hall;                     ///< Data hall of who heard it first.
+	bool forwarded = false;               ///< It was passed on by an instance of the receiver's hall.
+	std::vector<TargetSignalUpdate> news; ///< By target.
 };
 
 /** An instance asks another one for a part of its share of a target's limit. */
-struct LeaseAskMessage {
+struct LeaseRequestMessage {
 	std::string instance; ///< Who asks.
 	std::string target;   ///< Life of the target, by name.
 	uint64_t number = 0;  ///< Number of the ask, given by who asks.
@@ -84,8 +84,9 @@
 	uint32_t granted = 0; ///< Requests in a window that are lent.
 };
 
-using PeerMessage = std::variant<HeartbeatMessage, EntriesMessage, FetchMessage, SnapshotMessage, LoadMessage, TablesMessage,
-                                 PresenceMessage, HallLoadMessage, SignsMessage, LeaseAskMessage, LeaseGrantMessage, TablesAskMessage>;
+using PeerMessage =
+        std::variant<HeartbeatMessage, EntriesMessage, FetchMessage, SnapshotMessage, LoadMessage, TablesMessage, PresenceMessage,
+                     HallLoadMessage, SignalsMessage, LeaseRequestMessage, LeaseGrantMessage, TablesRequestMessage>;
 
 /** @return \a message in CBOR. */
 std::string EncodePeerMessage(const PeerMessage &message);
--- a/src/peer/websocket_session.cpp
+++ b/src/peer/websocket_session.cpp
@@ -14,9 +14,9 @@
 
 namespace cottonspool {
 
-static constexpr size_t MAX_MESSAGE_BYTES = 64U << 20;     ///< Largest message taken.
-static constexpr unsigned UNACKNOWLEDGED_LIMIT_MS = 10000; ///< Time without acknowledgement after which a link is given up.
-static constexpr size_t MAX_UNSENT_BYTES = 96U << 20;      ///< Unsent bytes from which messages are dropped.
+static constexpr size_t MAX_MESSAGE_BYTES = 64U << 20;       ///< Largest message taken.
+static constexpr unsigned UNACKNOWLEDGED_TIMEOUT_MS = 10000; ///< Time without acknowledgement after which a link is given up.
+static constexpr size_t MAX_UNSENT_BYTES = 96U << 20;        ///< Unsent bytes from which messages are dropped.
 
 using ServerEndpoint = websocketpp::server<websocketpp::config::core>;
 using ClientEndpoint = websocketpp::client<websocketpp::config::core_client>;
@@ -51,7 +51,7 @@
 		this->connection = new_connection;
 		uv_tcp_nodelay(this->Socket(), 1);
 		uv_os_fd_t descriptor = -1;
-		unsigned limit = UNACKNOWLEDGED_LIMIT_MS;
+		unsigned limit = UNACKNOWLEDGED_TIMEOUT_MS;
 		if (uv_fileno(reinterpret_cast<uv_handle_t *>(this->Socket()), &descriptor) == 0) {
 			setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
 		}
--- a/src/platform/json_func.h
+++ b/src/platform/json_func.h
@@ -15,67 +15,67 @@
 using Json = nlohmann::json;
 
 /** @return The text in the field \a name of \a object, or an empty text. */
-inline std::string TextOf(const Json &object, const char *name)
+inline std::string StringField(const Json &object, const char *name)
 {
 	auto found = object.find(name);
 	return found != object.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-/** @return The number in the field \a name of \a object, or \a otherwise. */
-inline double NumberOf(const Json &object, const char *name, double otherwise = 0)
+/** @return The number in the field \a name of \a object, or \a fallback. */
+inline double NumberField(const Json &object, const char *name, double fallback = 0)
 {
 	auto found = object.find(name);
-	return found != object.end() && found->is_number() ? found->get<double>() : otherwise;
+	return found != object.end() && found->is_number() ? found->get<double>() : fallback;
 }
 
-/** @return The whole part of \a number as a \a Whole; the nearest that there is if it is out of range, 0 if it is no number. */
-template <typename Whole> Whole ToWhole(double number)
+/** @return The whole part of \a number as a \a Integer; the nearest that there is if it is out of range, 0 if it is no number. */
+template <typename Integer> Integer ToInteger(double number)
 {
 	// The largest double that is not above the largest value, and the smallest that is not below the least one.
-	static const double most = std::nextafter(static_cast<double>(std::numeric_limits<Whole>::max()), 0);
-	static const auto least = static_cast<double>(std::numeric_limits<Whole>::min());
+	static const double max_value = std::nextafter(static_cast<double>(std::numeric_limits<Integer>::max()), 0);
+	static const auto min_value = static_cast<double>(std::numeric_limits<Integer>::min());
 	if (std::isnan(number)) return 0;
-	if (number >= most) return std::numeric_limits<Whole>::max();
-	return number <= least ? std::numeric_limits<Whole>::min() : static_cast<Whole>(number);
+	if (number >= max_value) return std::numeric_limits<Integer>::max();
+	return number <= min_value ? std::numeric_limits<Integer>::min() : static_cast<Integer>(number);
 }
 
 /** @return The whole number, not below 0, in the field \a name of \a object, or 0. */
-inline uint64_t CountOf(const Json &object, const char *name)
+inline uint64_t UintField(const Json &object, const char *name)
 {
 	auto found = object.find(name);
 	if (found != object.end() && found->is_number_unsigned()) return found->get<uint64_t>();
-	return ToWhole<uint64_t>(NumberOf(object, name));
+	return ToInteger<uint64_t>(NumberField(object, name));
 }
 
-/** @return The same for a number that is kept in 32 bits; at least \a least. */
-inline uint32_t SmallCountOf(const Json &object, const char *name, uint32_t least = 0)
+/** @return The same for a number that is kept in 32 bits; at least \a min_value. */
+inline uint32_t Uint32Field(const Json &object, const char *name, uint32_t min_value = 0)
 {
-	return std::max(least, ToWhole<uint32_t>(NumberOf(object, name, least)));
+	return std::max(min_value, ToInteger<uint32_t>(NumberField(object, name, min_value)));
 }
 
 /** @return Whether the field \a name of \a object is true. */
-inline bool FlagOf(const Json &object, const char *name)
+inline bool BoolField(const Json &object, const char *name)
 {
 	auto found = object.find(name);
 	return found != object.end() && found->is_boolean() && found->get<bool>();
 }
 
-/** @return The milliseconds in the field \a name of \a object, or \a otherwise. */
-inline Duration MillisecondsOf(const Json &object, const char *name, double otherwise = 0)
+/** @return The milliseconds in the field \a name of \a object, or \a fallback. */
+inline Duration MillisecondsField(const Json &object, const char *name, double fallback = 0)
 {
-	static constexpr double MOST_MS = 1e12; ///< Some thirty years: longer times mean no bound, and their sums still fit.
-	return FromSeconds(std::clamp(NumberOf(object, name, otherwise), -MOST_MS, MOST_MS) / 1000);
+	static constexpr double MAX_MS = 1e12; ///< Some thirty years: longer times mean no bound, and their sums still fit.
+	return FromSeconds(std::clamp(NumberField(object, name, fallback), -MAX_MS, MAX_MS) / 1000);
 }
 
 /** @return The seconds in the field \a name of \a object, or zero. */
-inline Duration SecondsOf(const Json &object, const char *name)
+inline Duration SecondsField(const Json &object, const char *name)
 {
-	static constexpr double MOST_S = 1e9; ///< As for milliseconds.
-	return FromSeconds(std::clamp(NumberOf(object, name), 0.0, MOST_S));
+	static constexpr double MAX_S = 1e9; ///< As for milliseconds.
+	return FromSeconds(std::clamp(NumberField(object, name), 0.0, MAX_S));
 }
 
 /** @return The list in the field \a name of \a object, or an empty one. */
-inline const Json &ListOf(const Json &object, const char *name)
+inline const Json &ArrayField(const Json &object, const char *name)
 {
 	static const Json none = Json::array();
 	auto found = object.find(name);
