--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -38,14 +38,14 @@
 		return {};
 	}
 
-	/** @return The number at \a path, or \a otherwise when there is none; a fault when it is out of range. */
-	double Number(const char *path, double otherwise, double least, double most)
+	/** @return The number at \a path, or \a fallback when there is none; a fault when it is out of range. */
+	double Number(const char *path, double fallback, double min_value, double max_value)
 	{
 		const Json *value = this->Find(path);
-		if (value == nullptr || value->is_null()) return otherwise;
-		if (value->is_number() && value->get<double>() >= least && value->get<double>() <= most) return value->get<double>();
-		this->Fail(path, "has to be a number from " + std::to_string(least) + " to " + std::to_string(most));
-		return otherwise;
+		if (value == nullptr || value->is_null()) return fallback;
+		if (value->is_number() && value->get<double>() >= min_value && value->get<double>() <= max_value) return value->get<double>();
+		this->Fail(path, "has to be a number from " + std::to_string(min_value) + " to " + std::to_string(max_value));
+		return fallback;
 	}
 
 	/** @return The value at \a path, or null. */
@@ -56,7 +56,7 @@
 	}
 
 	/** @return The first fault, if there was one. */
-	const std::optional<Error> &Fault() const { return this->fault; }
+	const std::optional<Error> &FirstError() const { return this->fault; }
 
 private:
 	void Fail(const char *path, const std::string &message)
@@ -71,12 +71,12 @@
 
 Result<NodeSettings> ParseNodeSettings(const std::string &text, const std::string &file)
 {
-	static constexpr double MOST_MS = 3600e3;
+	static constexpr double MAX_MS = 3600e3;
 	Json root = Json::parse(text, nullptr, false);
 	if (!root.is_object()) return Error{Step::Settings, file, "has to be a JSON object"};
 	FieldReader fields(root, file);
-	auto milliseconds = [&](const char *path, double otherwise) { return FromSeconds(fields.Number(path, otherwise, 0, MOST_MS) / 1000); };
-	auto seconds = [&](const char *path, double otherwise) { return FromSeconds(fields.Number(path, otherwise, 0, MOST_MS / 1000)); };
+	auto milliseconds = [&](const char *path, double fallback) { return FromSeconds(fields.Number(path, fallback, 0, MAX_MS) / 1000); };
+	auto seconds = [&](const char *path, double fallback) { return FromSeconds(fields.Number(path, fallback, 0, MAX_MS / 1000)); };
 	NodeSettings settings;
 	settings.name = fields.Text("/nodeName");
 	settings.hall = fields.Text("/zone");
@@ -90,19 +90,19 @@
 	}
 	settings.first_port = static_cast<uint16_t>(fields.Number("/internalPorts/0", 0, 0, UINT16_MAX));
 	settings.last_port = static_cast<uint16_t>(fields.Number("/internalPorts/1", 0, 0, UINT16_MAX));
-	settings.first_start = FlagOf(root, "bootstrap");
+	settings.bootstrap = BoolField(root, "bootstrap");
 	settings.memory_mb = static_cast<uint64_t>(fields.Number("/limits/memoryMb", 0, 0, 1e9));
 	settings.link_mbps = fields.Number("/limits/linkMbps", 0, 0, 1e9);
 	settings.heartbeat = milliseconds("/heartbeatMs", 1200);
-	settings.bounds.drain = milliseconds("/bounds/drainMs", 2000);
-	settings.bounds.in_force = milliseconds("/bounds/configApplyMs", 2000);
-	settings.bounds.empty = milliseconds("/bounds/evacuateMs", 2000);
-	settings.bounds.contact = milliseconds("/bounds/contactMs", 3000);
-	settings.bounds.stop_grace = seconds("/bounds/graceS", 8);
-	settings.bounds.retry_ratio = fields.Number("/bounds/retryBudgetRatio", 0.2, 0, 10);
-	settings.bounds.retry_window = seconds("/bounds/budgetWindowS", 10);
-	settings.bounds.retry_slack = fields.Number("/bounds/retrySlack", 50, 0, 1e9);
-	if (fields.Fault()) return *fields.Fault();
+	settings.platform_bounds.drain = milliseconds("/bounds/drainMs", 2000);
+	settings.platform_bounds.config_apply = milliseconds("/bounds/configApplyMs", 2000);
+	settings.platform_bounds.empty = milliseconds("/bounds/evacuateMs", 2000);
+	settings.platform_bounds.recovery = milliseconds("/bounds/contactMs", 3000);
+	settings.platform_bounds.stop_grace = seconds("/bounds/graceS", 8);
+	settings.platform_bounds.retry_ratio = fields.Number("/bounds/retryBudgetRatio", 0.2, 0, 10);
+	settings.platform_bounds.retry_window = seconds("/bounds/budgetWindowS", 10);
+	settings.platform_bounds.retry_slack = fields.Number("/bounds/retrySlack", 50, 0, 1e9);
+	if (fields.FirstError()) return *fields.FirstError();
 	return settings;
 }
 
--- a/src/platform/node_settings.h
+++ b/src/platform/node_settings.h
@@ -12,10 +12,10 @@
 
 /** Times and shares within which the operator's rules hold. */
 struct PlatformBounds {
-	Duration drain{std::chrono::seconds(2)};      ///< Time after a target's notice from which nothing new may reach it.
-	Duration in_force{std::chrono::seconds(2)};   ///< Time after which a configuration has to be in force.
-	Duration empty{std::chrono::seconds(2)};      ///< Time after which nothing new may reach a hall that is emptied.
-	Duration contact{std::chrono::seconds(3)};    ///< Calm time after which the bounds hold again, also for what the store told meanwhile.
+	Duration drain{std::chrono::seconds(2)};        ///< Time after a target's notice from which nothing new may reach it.
+	Duration config_apply{std::chrono::seconds(2)}; ///< Time after which a configuration has to be in force.
+	Duration empty{std::chrono::seconds(2)};        ///< Time after which nothing new may reach a hall that is emptied.
+	Duration recovery{std::chrono::seconds(3)};   ///< Calm time after which the bounds hold again, also for what the store told meanwhile.
 	Duration stop_grace{std::chrono::seconds(8)}; ///< Time between SIGTERM and SIGKILL.
 	double retry_ratio = 0.2;                     ///< Second sends allowed for each request, all instances together.
 	Duration retry_window{std::chrono::seconds(10)}; ///< Window of that share.
@@ -36,8 +36,8 @@
 	Duration heartbeat{std::chrono::milliseconds(1200)}; ///< Time between a target's heartbeats.
 	double link_mbps = 0;                                ///< Speed of its link, in Mbit/s; 0 if unknown.
 	uint64_t memory_mb = 0;                              ///< Memory that the process may use, in MB; 0 if unknown.
-	bool first_start = false;                            ///< The whole system starts for the first time.
-	PlatformBounds bounds;                               ///< Bounds.
+	bool bootstrap = false;                              ///< The whole system starts for the first time.
+	PlatformBounds platform_bounds;                      ///< Bounds.
 };
 
 /** Read the settings from JSON \a text. @param file Name used in errors. */
--- a/src/platform/platform_base.h
+++ b/src/platform/platform_base.h
@@ -26,8 +26,8 @@
 
 /** An instance as the platform's list shows it, with a lag. */
 struct ListedInstance {
-	std::string name;     ///< Name of an instance or a target.
-	bool leaving = false; ///< Shown as leaving.
+	std::string name;      ///< Name of an instance or a target.
+	bool draining = false; ///< Shown as leaving.
 };
 
 /** The platform's services. Each call comes to exactly one call of its \a done function, later or at once. */
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -11,13 +11,13 @@
 
 void PlatformClient::Send(const std::string &method, const std::string &path, HttpHeaders headers, const std::string &body, AnswerDone done)
 {
-	if (this->under_way >= MAX_CALLS) {
+	if (this->calls_in_flight >= MAX_CALLS) {
 		this->counters.refused++;
-		HttpEnd end;
+		HttpCallResult end;
 		end.message = "too many platform calls under way";
 		return done(end, {}, "");
 	}
-	this->under_way++;
+	this->calls_in_flight++;
 	(method == "GET" ? this->counters.reads : this->counters.writes)++;
 	struct Answer {
 		HttpHeaders headers; ///< Headers so far.
@@ -29,14 +29,14 @@
 	call.url = this->base + path;
 	call.headers = std::move(headers);
 	call.body = body;
-	call.connect_limit = std::min<Duration>(this->deadline, std::chrono::milliseconds(500));
-	call.total_limit = this->deadline;
-	call.single_send = method != "GET";
+	call.connect_timeout = std::min<Duration>(this->deadline, std::chrono::milliseconds(500));
+	call.total_timeout = this->deadline;
+	call.fresh_connection = method != "GET";
 	call.on_head = [answer](int, const HttpHeaders &got) { answer->headers = got; };
 	call.on_data = [answer](std::string_view data) { answer->body.append(data); };
-	call.on_end = [this, answer, done = std::move(done)](const HttpEnd &end) {
-		this->under_way--;
-		if (end.kind != HttpEndKind::Answered || end.status >= 500) this->counters.failures++;
+	call.on_end = [this, answer, done = std::move(done)](const HttpCallResult &end) {
+		this->calls_in_flight--;
+		if (end.kind != HttpCallOutcome::Answered || end.status >= 500) this->counters.failures++;
 		done(end, answer->headers, answer->body);
 	};
 	this->client.Start(std::move(call));
@@ -45,9 +45,9 @@
 void PlatformClient::Read(const std::string &path, Step step, ReadDone done)
 {
 	this->Send("GET", path, {}, "",
-	           [=, this, done = std::move(done)](const HttpEnd &end, const HttpHeaders &headers, const std::string &body) {
-		           if (end.kind == HttpEndKind::Answered && end.status == 404) return done(PlatformRow{path, "", ""});
-		           if (end.kind == HttpEndKind::Answered && end.status == 200)
+	           [=, this, done = std::move(done)](const HttpCallResult &end, const HttpHeaders &headers, const std::string &body) {
+		           if (end.kind == HttpCallOutcome::Answered && end.status == 404) return done(PlatformRow{path, "", ""});
+		           if (end.kind == HttpCallOutcome::Answered && end.status == 200)
 			           return done(PlatformRow{path, body, std::string(FindHeader(headers, "etag"))});
 		           done(Error{step, this->base, "read of " + path + ": " + end.message + " status " + std::to_string(end.status)});
 	           });
@@ -56,12 +56,12 @@
 void PlatformClient::Write(const std::string &path, const std::string &value, HttpHeaders headers, WriteDone done)
 {
 	this->Send("PUT", path, std::move(headers), value,
-	           [done = std::move(done)](const HttpEnd &end, const HttpHeaders &got, const std::string &) {
+	           [done = std::move(done)](const HttpCallResult &end, const HttpHeaders &got, const std::string &) {
 		           WriteOutcome outcome;
-		           if (end.kind == HttpEndKind::NotSent) outcome.result = WriteResult::NotDone;
-		           if (end.kind == HttpEndKind::Answered && end.status == 200)
+		           if (end.kind == HttpCallOutcome::NotSent) outcome.result = WriteResult::NotDone;
+		           if (end.kind == HttpCallOutcome::Answered && end.status == 200)
 			           outcome = {WriteResult::Done, std::string(FindHeader(got, "etag"))};
-		           if (end.kind == HttpEndKind::Answered && end.status == 412) outcome.result = WriteResult::Conflict;
+		           if (end.kind == HttpCallOutcome::Answered && end.status == 412) outcome.result = WriteResult::Conflict;
 		           done(outcome);
 	           });
 }
@@ -95,26 +95,27 @@
 void PlatformClient::ScanRows(const std::string &prefix, const std::string &after, ScanDone done)
 {
 	std::string path = "/table?prefix=" + prefix + "&after=" + after;
-	this->Send("GET", path, {}, "", [this, done = std::move(done)](const HttpEnd &end, const HttpHeaders &, const std::string &body) {
-		Json rows = Json::parse(body, nullptr, false);
-		if (end.kind != HttpEndKind::Answered || end.status != 200 || !rows.is_array()) {
-			return done(Error{Step::Table, this->base, "scan: " + end.message + " status " + std::to_string(end.status)});
-		}
-		std::vector<PlatformRow> found;
-		for (const Json &row : rows) {
-			if (!row.is_object() || !row.contains("key") || !row["key"].is_string() || !row["value"].is_string()) continue;
-			found.push_back({row["key"], row["value"], "\"" + std::to_string(row.value("version", 0ULL)) + "\""});
-		}
-		done(std::move(found));
-	});
+	this->Send("GET", path, {}, "",
+	           [this, done = std::move(done)](const HttpCallResult &end, const HttpHeaders &, const std::string &body) {
+		           Json rows = Json::parse(body, nullptr, false);
+		           if (end.kind != HttpCallOutcome::Answered || end.status != 200 || !rows.is_array()) {
+			           return done(Error{Step::Table, this->base, "scan: " + end.message + " status " + std::to_string(end.status)});
+		           }
+		           std::vector<PlatformRow> found;
+		           for (const Json &row : rows) {
+			           if (!row.is_object() || !row.contains("key") || !row["key"].is_string() || !row["value"].is_string()) continue;
+			           found.push_back({row["key"], row["value"], "\"" + std::to_string(row.value("version", 0ULL)) + "\""});
+		           }
+		           done(std::move(found));
+	           });
 }
 
 void PlatformClient::ListInstances(ListDone done)
 {
 	this->Send("GET", "/instances", {}, "",
-	           [this, done = std::move(done)](const HttpEnd &end, const HttpHeaders &, const std::string &body) {
+	           [this, done = std::move(done)](const HttpCallResult &end, const HttpHeaders &, const std::string &body) {
 		           Json list = Json::parse(body, nullptr, false);
-		           if (end.kind != HttpEndKind::Answered || end.status != 200 || !list.is_array()) {
+		           if (end.kind != HttpCallOutcome::Answered || end.status != 200 || !list.is_array()) {
 			           return done(Error{Step::Table, this->base, "instance list: " + end.message});
 		           }
 		           std::vector<ListedInstance> found;
--- a/src/platform/platform_client.h
+++ b/src/platform/platform_client.h
@@ -34,7 +34,7 @@
 	const PlatformCounters &Counters() const { return this->counters; }
 
 private:
-	using AnswerDone = std::function<void(const HttpEnd &, const HttpHeaders &, const std::string &)>;
+	using AnswerDone = std::function<void(const HttpCallResult &, const HttpHeaders &, const std::string &)>;
 
 	void Send(const std::string &method, const std::string &path, HttpHeaders headers, const std::string &body, AnswerDone done);
 	void Read(const std::string &path, Step step, ReadDone done);
@@ -42,11 +42,11 @@
 
 	static constexpr size_t MAX_CALLS = 64; ///< Most calls under way.
 
-	HttpClient &client;        ///< HTTP.
-	std::string base;          ///< Base URL.
-	Duration deadline;         ///< Deadline of one call.
-	size_t under_way = 0;      ///< Calls under way.
-	PlatformCounters counters; ///< Counters.
+	HttpClient &client;         ///< HTTP.
+	std::string base;           ///< Base URL.
+	Duration deadline;          ///< Deadline of one call.
+	size_t calls_in_flight = 0; ///< Calls under way.
+	PlatformCounters counters;  ///< Counters.
 };
 
 } // namespace cottonspool
--- a/src/platform/wire_configuration.cpp
+++ b/src/platform/wire_configuration.cpp
@@ -16,7 +16,7 @@
 	return key == "config";
 }
 
-std::optional<std::string> EmptiedHallOf(std::string_view key)
+std::optional<std::string> EvacuatedHallOf(std::string_view key)
 {
 	static constexpr std::string_view PREFIX = "evacuate/";
 	if (!key.starts_with(PREFIX)) return std::nullopt;
@@ -24,10 +24,10 @@
 }
 
 /** @return The texts in the list \a name of \a object. */
-static std::vector<std::string> TextsOf(const Json &object, const char *name)
+static std::vector<std::string> StringArrayField(const Json &object, const char *name)
 {
 	std::vector<std::string> texts;
-	for (const Json &item : ListOf(object, name)) {
+	for (const Json &item : ArrayField(object, name)) {
 		if (item.is_string()) texts.push_back(item.get<std::string>());
 	}
 	return texts;
@@ -37,23 +37,23 @@
 static Route DecodeRoute(const Json &from)
 {
 	Route route;
-	route.name = TextOf(from, "name");
-	route.host = TextOf(from, "host");
-	route.path_prefix = TextOf(from, "pathPrefix");
-	std::string kind = TextOf(from, "routeType");
+	route.name = StringField(from, "name");
+	route.host = StringField(from, "host");
+	route.path_prefix = StringField(from, "pathPrefix");
+	std::string kind = StringField(from, "routeType");
 	// A kind we do not know is treated as the most careful one that still serves: run at most once.
-	route.kind = kind == "idempotent" ? RunKind::Repeatable : kind == "streaming" ? RunKind::Stream : RunKind::Once;
-	for (const Json &share : ListOf(from, "weightedServices")) {
-		route.pools.push_back({TextOf(share, "service"), NumberOf(share, "weight", 1)});
+	route.kind = kind == "idempotent" ? RouteType::Repeatable : kind == "streaming" ? RouteType::Stream : RouteType::Once;
+	for (const Json &share : ArrayField(from, "weightedServices")) {
+		route.pools.push_back({StringField(share, "service"), NumberField(share, "weight", 1)});
 	}
-	if (route.pools.empty()) route.pools.push_back({TextOf(from, "service"), 1});
-	route.max_attempts = SmallCountOf(from, "maxAttempts", 1);
-	route.timeout = MillisecondsOf(from, "timeoutMs", 60000);
-	route.objective = MillisecondsOf(from, "targetLatencyMs", 1000);
-	route.gap_objective = MillisecondsOf(from, "gapAimMs");
-	route.rank = ToWhole<int>(NumberOf(from, "priority"));
-	route.needs_key = !FlagOf(from, "public");
-	route.homes = TextsOf(from, "allowedRegions");
+	if (route.pools.empty()) route.pools.push_back({StringField(from, "service"), 1});
+	route.max_attempts = Uint32Field(from, "maxAttempts", 1);
+	route.timeout = MillisecondsField(from, "timeoutMs", 60000);
+	route.objective = MillisecondsField(from, "targetLatencyMs", 1000);
+	route.gap_objective = MillisecondsField(from, "gapAimMs");
+	route.priority_level = ToInteger<int>(NumberField(from, "priority"));
+	route.requires_key = !BoolField(from, "public");
+	route.home_regions = StringArrayField(from, "allowedRegions");
 	return route;
 }
 
@@ -61,21 +61,21 @@
 static Pool DecodePool(const Json &from)
 {
 	Pool pool;
-	pool.name = TextOf(from, "name");
-	pool.health_path = TextOf(from, "healthPath");
-	pool.max_connections = SmallCountOf(from, "maxConnections");
-	pool.cold_start = SecondsOf(from, "coldStartS");
-	pool.cold_per_s = NumberOf(from, "coldPerS");
+	pool.name = StringField(from, "name");
+	pool.health_path = StringField(from, "healthPath");
+	pool.max_connections = Uint32Field(from, "maxConnections");
+	pool.cold_start = SecondsField(from, "coldStartS");
+	pool.cold_rate = NumberField(from, "coldPerS");
 	auto engine = from.find("engine");
 	if (engine == from.end() || !engine->is_object()) return pool;
 	EnginePool &known = pool.engine.emplace();
-	known.slots = SmallCountOf(*engine, "capacity", 1);
-	known.memory_tokens = CountOf(*engine, "kvTokenCapacity");
-	known.bytes_per_token = NumberOf(*engine, "kvTokenBytes");
-	known.link_mbps = NumberOf(*engine, "linkMbps");
-	known.tokens_per_event = SmallCountOf(*engine, "stride", 1);
-	known.can_move = FlagOf(*engine, "moves");
-	known.can_back_up = FlagOf(*engine, "backups");
+	known.slots = Uint32Field(*engine, "capacity", 1);
+	known.memory_tokens = UintField(*engine, "kvTokenCapacity");
+	known.bytes_per_token = NumberField(*engine, "kvTokenBytes");
+	known.link_mbps = NumberField(*engine, "linkMbps");
+	known.tokens_per_event = Uint32Field(*engine, "stride", 1);
+	known.can_migrate = BoolField(*engine, "moves");
+	known.can_back_up = BoolField(*engine, "backups");
 	return pool;
 }
 
@@ -83,10 +83,10 @@
 static CallerLimits DecodeLimits(const Json &from)
 {
 	CallerLimits limits;
-	limits.max_head_bytes = ToWhole<size_t>(NumberOf(from, "maxHeaderBytes", static_cast<double>(limits.max_head_bytes)));
-	limits.max_body_bytes = ToWhole<size_t>(NumberOf(from, "maxBodyBytes", static_cast<double>(limits.max_body_bytes)));
-	limits.head_timeout = MillisecondsOf(from, "headerTimeoutMs", 3000);
-	limits.idle_timeout = MillisecondsOf(from, "idleTimeoutMs", 15000);
+	limits.max_head_bytes = ToInteger<size_t>(NumberField(from, "maxHeaderBytes", static_cast<double>(limits.max_head_bytes)));
+	limits.max_body_bytes = ToInteger<size_t>(NumberField(from, "maxBodyBytes", static_cast<double>(limits.max_body_bytes)));
+	limits.head_timeout = MillisecondsField(from, "headerTimeoutMs", 3000);
+	limits.idle_timeout = MillisecondsField(from, "idleTimeoutMs", 15000);
 	return limits;
 }
 
@@ -94,39 +94,40 @@
 {
 	Json root = Json::parse(text, nullptr, false);
 	if (!root.is_object()) return Error{Step::Configuration, "store", "the configuration is not a JSON object"};
-	bool whole = CountOf(root, "version") > 0 && root.contains("routes") && root["routes"].is_array() && root.contains("services") &&
+	bool whole = UintField(root, "version") > 0 && root.contains("routes") && root["routes"].is_array() && root.contains("services") &&
 	             root["services"].is_array();
 	if (!whole) return Error{Step::Configuration, "store", "the configuration lacks its version, routes or services"};
 	ServingConfiguration configuration;
-	configuration.version = CountOf(root, "version");
-	for (const Json &route : ListOf(root, "routes")) configuration.routes.push_back(DecodeRoute(route));
-	for (const Json &pool : ListOf(root, "services")) configuration.pools.push_back(DecodePool(pool));
+	configuration.version = UintField(root, "version");
+	for (const Json &route : ArrayField(root, "routes")) configuration.routes.push_back(DecodeRoute(route));
+	for (const Json &pool : ArrayField(root, "services")) configuration.pools.push_back(DecodePool(pool));
 	auto limits = root.find("limits");
 	if (limits != root.end() && limits->is_object()) configuration.limits = DecodeLimits(*limits);
 	configuration.has_accounts = root.contains("tenants");
-	for (const Json &tenant : ListOf(root, "tenants")) {
+	for (const Json &tenant : ArrayField(root, "tenants")) {
 		ClientAccount account;
-		account.name = TextOf(tenant, "name");
-		account.keys = TextsOf(tenant, "apiKeys");
-		account.homes = TextsOf(tenant, "allowedRegions");
-		auto rank = tenant.find("priority");
-		if (rank != tenant.end() && rank->is_number()) account.rank = ToWhole<int>(rank->get<double>());
+		account.name = StringField(tenant, "name");
+		account.keys = StringArrayField(tenant, "apiKeys");
+		account.home_regions = StringArrayField(tenant, "allowedRegions");
+		auto priority_level = tenant.find("priority");
+		if (priority_level != tenant.end() && priority_level->is_number())
+			account.priority_level = ToInteger<int>(priority_level->get<double>());
 		configuration.accounts.push_back(std::move(account));
 	}
 	return configuration;
 }
 
 /** @return What is wrong with \a row as a heartbeat; null if each field that is used is there and of its type. */
-static const char *FaultOf(const Json &row)
+static const char *FindHeartbeatError(const Json &row)
 {
 	if (!row.is_object()) return "no object";
 	for (const char *name : {"service", "address", "zone"}) {
-		if (TextOf(row, name).empty()) return "no service, address or zone";
+		if (StringField(row, name).empty()) return "no service, address or zone";
 	}
-	if (!ParseEndpoint(TextOf(row, "address"))) return "no address";
-	std::string state = TextOf(row, "state");
+	if (!ParseEndpoint(StringField(row, "address"))) return "no address";
+	std::string state = StringField(row, "state");
 	if (state != "ready" && state != "draining") return "no known state";
-	if (NumberOf(row, "capacity") < 1) return "no capacity";
+	if (NumberField(row, "capacity") < 1) return "no capacity";
 	if (!row.contains("coldRemainingMs") || !row["coldRemainingMs"].is_number()) return "no time for which it is cold";
 	if (!row.contains("sequence") || !row["sequence"].is_number()) return "no sequence";
 	if (row.contains("born") && !row["born"].is_number_unsigned()) return "no start";
@@ -138,16 +139,16 @@
 	if (row.deleted) return TargetRow{row.key, std::nullopt};
 	if (row.unreadable) return Error{Step::Table, row.key, "no bytes"};
 	Json root = Json::parse(row.value, nullptr, false);
-	if (const char *fault = FaultOf(root)) return Error{Step::Table, row.key, fault};
+	if (const char *error = FindHeartbeatError(root)) return Error{Step::Table, row.key, error};
 	ListedTarget target;
-	target.life = {row.key, CountOf(root, "born")};
-	target.pool = TextOf(root, "service");
-	target.address = TextOf(root, "address");
-	target.hall = TextOf(root, "zone");
-	target.slots = SmallCountOf(root, "capacity", 1);
-	target.leaving = TextOf(root, "state") == "draining";
-	target.sequence = CountOf(root, "sequence");
-	target.cold_left = MillisecondsOf(root, "coldRemainingMs");
+	target.incarnation = {row.key, UintField(root, "born")};
+	target.pool = StringField(root, "service");
+	target.address = StringField(root, "address");
+	target.hall = StringField(root, "zone");
+	target.slots = Uint32Field(root, "capacity", 1);
+	target.draining = StringField(root, "state") == "draining";
+	target.sequence = UintField(root, "sequence");
+	target.cold_remaining = MillisecondsField(root, "coldRemainingMs");
 	return TargetRow{row.key, std::move(target)};
 }
 
--- a/src/platform/wire_configuration.h
+++ b/src/platform/wire_configuration.h
@@ -18,7 +18,7 @@
 
 /** @return The data hall that the operators ask to empty as long as the row \a key of CONFIGURATION_TABLE stands; nothing for other rows.
  */
-std::optional<std::string> EmptiedHallOf(std::string_view key);
+std::optional<std::string> EvacuatedHallOf(std::string_view key);
 
 /** Decode a whole configuration. */
 Result<ServingConfiguration> DecodeConfiguration(const std::string &text);
--- a/src/platform/wire_engine.cpp
+++ b/src/platform/wire_engine.cpp
@@ -12,39 +12,39 @@
 	Json root = Json::parse(text, nullptr, false);
 	if (!root.is_object()) return std::nullopt;
 	EngineReport report;
-	report.running = SmallCountOf(root, "running");
-	report.waiting = SmallCountOf(root, "queued");
-	report.used_tokens = CountOf(root, "kvUsed");
-	report.memory_tokens = CountOf(root, "kvTotal");
+	report.running = Uint32Field(root, "running");
+	report.waiting = Uint32Field(root, "queued");
+	report.used_tokens = UintField(root, "kvUsed");
+	report.memory_tokens = UintField(root, "kvTotal");
 	// Here this name holds the prompt tokens of the first request that waits.
-	report.waiting_tokens = CountOf(root, "nextPageToken");
-	report.leaving = TextOf(root, "state") == "draining";
-	report.born = CountOf(root, "born");
-	if (root.contains("leaves_ms")) report.leaves_in = MillisecondsOf(root, "leaves_ms");
+	report.waiting_tokens = UintField(root, "nextPageToken");
+	report.draining = StringField(root, "state") == "draining";
+	report.started_ms = UintField(root, "born");
+	if (root.contains("leaves_ms")) report.shutdown_in = MillisecondsField(root, "leaves_ms");
 	return report;
 }
 
-MoveAnswer DecodeMove(int status, const std::string &text)
+MigrationAnswer DecodeMigrationAnswer(int status, const std::string &text)
 {
 	Json root = Json::parse(text, nullptr, false);
-	MoveAnswer answer;
+	MigrationAnswer answer;
 	if (root.is_object()) {
-		answer.handle = TextOf(root, "handle");
+		answer.handle = StringField(root, "handle");
 		// Here this name holds the number of events that the run has made.
-		answer.events = CountOf(root, "createdRev");
+		answer.events = UintField(root, "createdRev");
 	}
 	switch (status) {
 	case 200:
-		answer.kind = answer.handle.empty() ? MoveAnswer::Kind::NoAnswer : MoveAnswer::Kind::Copied;
+		answer.kind = answer.handle.empty() ? MigrationAnswer::Kind::NoAnswer : MigrationAnswer::Kind::Copied;
 		break;
 	case 404:
-		answer.kind = MoveAnswer::Kind::NoRun;
+		answer.kind = MigrationAnswer::Kind::NoRun;
 		break;
 	case 409:
-		answer.kind = MoveAnswer::Kind::Busy;
+		answer.kind = MigrationAnswer::Kind::Busy;
 		break;
 	case 503:
-		answer.kind = MoveAnswer::Kind::NoRoom;
+		answer.kind = MigrationAnswer::Kind::NoCapacity;
 		break;
 	default:
 		break;
@@ -56,22 +56,22 @@
 
 const char *const REPORT_PATH = "/-/report";
 
-const char *LifeSignName(LifeSign sign)
+const char *ProbeResultName(ProbeResult result)
 {
 	static constexpr const char *NAMES[] = {"answered", "other-life", "refused", "broken"};
-	return NAMES[static_cast<size_t>(sign)];
+	return NAMES[static_cast<size_t>(result)];
 }
 
 /** Collects a whole answer: its status and body. */
-struct WholeAnswer {
+struct CollectedAnswer {
 	int status = 0;   ///< Status.
 	std::string body; ///< Body.
 };
 
 /** Have \a call collect its answer and hand it to \a done; status 0 when there is none. */
-static void Collect(UpstreamCall &call, std::function<void(const WholeAnswer &)> done)
+static void Collect(UpstreamCall &call, std::function<void(const CollectedAnswer &)> done)
 {
-	auto answer = std::make_shared<WholeAnswer>();
+	auto answer = std::make_shared<CollectedAnswer>();
 	call.on_head = [answer](const HttpHead &head) {
 		answer->status = head.status;
 		return true;
@@ -90,43 +90,45 @@
 	call.peer = peer;
 	call.target = REPORT_PATH;
 	call.headers = {{"Host", to.Text()}};
-	Collect(call,
-	        [done = std::move(done)](const WholeAnswer &answer) { done(answer.status == 200 ? DecodeReport(answer.body) : std::nullopt); });
+	Collect(call, [done = std::move(done)](const CollectedAnswer &answer) {
+		done(answer.status == 200 ? DecodeReport(answer.body) : std::nullopt);
+	});
 	return call;
 }
 
-UpstreamCall MakeLifeCall(const Endpoint &to, const TargetLife &life, const std::string &path, std::function<void(LifeSign)> done)
+UpstreamCall MakeProbeCall(const Endpoint &to, const TargetIncarnation &incarnation, const std::string &path,
+                           std::function<void(ProbeResult)> done)
 {
 	/** What the answer tells of who gave it. */
-	struct Told {
-		LifeSign sign = LifeSign::Broken; ///< Finding so far.
-		std::string body;                 ///< Body.
+	struct ProbeState {
+		ProbeResult result = ProbeResult::Broken; ///< Finding so far.
+		std::string body;                         ///< Body.
 	};
-	auto told = std::make_shared<Told>();
+	auto probe = std::make_shared<ProbeState>();
 	UpstreamCall call;
 	call.to = to;
-	call.peer = life.Name();
+	call.peer = incarnation.Name();
 	call.target = path;
 	call.headers = {{"Host", to.Text()}};
-	call.reuse_rest = Duration(0);
-	call.on_head = [told, life](const HttpHead &head) {
+	call.max_reuse_idle = Duration(0);
+	call.on_head = [probe, incarnation](const HttpHead &head) {
 		std::string_view id = FindHeader(head.headers, "X-Instance-Id");
-		told->sign = id.empty() || id == life.id ? LifeSign::Answered : LifeSign::OtherLife;
+		probe->result = id.empty() || id == incarnation.id ? ProbeResult::Answered : ProbeResult::OtherIncarnation;
 		return true;
 	};
-	call.on_body = [told](std::string_view bytes) {
-		if (told->body.size() < MAX_REPORT_BYTES) told->body.append(bytes);
+	call.on_body = [probe](std::string_view bytes) {
+		if (probe->body.size() < MAX_REPORT_BYTES) probe->body.append(bytes);
 	};
-	call.on_end = [told, life, done = std::move(done)](UpstreamEnd end, const char *) {
-		Json root = Json::parse(told->body, nullptr, false);
-		if (root.is_object() && life.IsOther(CountOf(root, "born"))) told->sign = LifeSign::OtherLife;
-		done(end == UpstreamEnd::Refused ? LifeSign::Refused : told->sign);
+	call.on_end = [probe, incarnation, done = std::move(done)](UpstreamEnd end, const char *) {
+		Json root = Json::parse(probe->body, nullptr, false);
+		if (root.is_object() && incarnation.IsOtherIncarnation(UintField(root, "born"))) probe->result = ProbeResult::OtherIncarnation;
+		done(end == UpstreamEnd::Refused ? ProbeResult::Refused : probe->result);
 	};
 	return call;
 }
 
-UpstreamCall MakeMoveCall(const Endpoint &to, const std::string &peer, const std::string &attempt, const std::string &copy_to, bool stop,
-                          std::function<void(const MoveAnswer &)> done)
+UpstreamCall MakeMigrationCall(const Endpoint &to, const std::string &peer, const std::string &attempt, const std::string &copy_to,
+                               bool stop, std::function<void(const MigrationAnswer &)> done)
 {
 	UpstreamCall call;
 	call.to = to;
@@ -136,11 +138,11 @@
 	call.headers = {{"Host", to.Text()}, {"Content-Type", "application/json"}};
 	// Here "targetVersion" holds the address of the engine that the copy goes to.
 	call.body = Json{{"id", attempt}, {"targetVersion", copy_to}, {"last", stop}}.dump();
-	Collect(call, [done = std::move(done)](const WholeAnswer &answer) { done(DecodeMove(answer.status, answer.body)); });
+	Collect(call, [done = std::move(done)](const CollectedAnswer &answer) { done(DecodeMigrationAnswer(answer.status, answer.body)); });
 	return call;
 }
 
-UpstreamCall MakeDropCall(const Endpoint &to, const std::string &peer, const std::string &handle)
+UpstreamCall MakeReleaseCall(const Endpoint &to, const std::string &peer, const std::string &handle)
 {
 	UpstreamCall call;
 	call.to = to;
--- a/src/platform/wire_request.cpp
+++ b/src/platform/wire_request.cpp
@@ -20,7 +20,7 @@
 }
 
 /** @return The number at the start of \a text, the largest that 32 bits hold if it is larger, or 0. */
-static uint32_t SmallNumber(std::string_view text)
+static uint32_t LeadingUint32(std::string_view text)
 {
 	return static_cast<uint32_t>(std::min<uint64_t>(LeadingNumber(text).value_or(0), UINT32_MAX));
 }
@@ -42,18 +42,18 @@
 	static constexpr std::string_view SCHEME = "bearer ";
 	RequestInfo info;
 	info.attempt = FindHeader(head.headers, "X-Attempt-Id");
-	static constexpr uint64_t MOST_MS = 1000ULL * 86400 * 365; ///< A year: longer limits mean none, and their sums still fit.
+	static constexpr uint64_t MAX_MS = 1000ULL * 86400 * 365; ///< A year: longer limits mean none, and their sums still fit.
 	if (auto ms = LeadingNumber(FindHeader(head.headers, "X-Deadline-Ms")))
-		info.deadline = std::chrono::milliseconds(std::min(*ms, MOST_MS));
+		info.deadline = std::chrono::milliseconds(std::min(*ms, MAX_MS));
 	std::string_view authorization = FindHeader(head.headers, "Authorization");
 	bool bearer = authorization.size() > SCHEME.size() && strncasecmp(authorization.data(), SCHEME.data(), SCHEME.size()) == 0;
 	if (bearer) info.key = authorization.substr(SCHEME.size());
 	info.model = FindHeader(head.headers, "X-Model");
 	// "IN,OUT": tokens of the prompt, and the most that may be generated.
 	std::vector<std::string_view> tokens = Split(FindHeader(head.headers, "X-Token-Count"));
-	if (!tokens.empty()) info.prompt_tokens = SmallNumber(tokens[0]);
-	if (tokens.size() > 1) info.most_output_tokens = SmallNumber(tokens[1]);
-	info.hinted_tokens = SmallNumber(FindHeader(head.headers, "X-Length-Hint"));
+	if (!tokens.empty()) info.prompt_tokens = LeadingUint32(tokens[0]);
+	if (tokens.size() > 1) info.max_output_tokens = LeadingUint32(tokens[1]);
+	info.hinted_tokens = LeadingUint32(FindHeader(head.headers, "X-Length-Hint"));
 	// "ID:TOKENS,…": the last part is the request's own, the one before it the last that others may share.
 	std::vector<std::string_view> parts = Split(FindHeader(head.headers, "X-Prompt-Prefix"));
 	if (parts.size() > 1) info.shared_prefix = parts[parts.size() - 2].substr(0, parts[parts.size() - 2].find(':'));
@@ -97,8 +97,8 @@
 	return headers;
 }
 
-/** @return The decimal number that \a text is, digits and at most one point, cut to \a most; nothing if it is none. */
-static std::optional<double> DecimalNumber(std::string_view text, double most)
+/** @return The decimal number that \a text is, digits and at most one point, cut to \a max_value; nothing if it is none. */
+static std::optional<double> DecimalNumber(std::string_view text, double max_value)
 {
 	static constexpr size_t LONGEST = 32; ///< Signs: no sender needs more.
 	auto is_part = [](char sign) { return (sign >= '0' && sign <= '9') || sign == '.'; };
@@ -107,50 +107,50 @@
 	double value = 0;
 	auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
 	if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) return std::nullopt;
-	return std::min(value, most);
+	return std::min(value, max_value);
 }
 
 /** Read the limit in \a head; of several the lowest counts, and one that cannot be read says nothing. */
-static void ReadLimit(const HttpHead &head, TargetSigns *signs)
+static void ReadLimit(const HttpHead &head, TargetSignals *signals)
 {
-	static constexpr double MOST_PER_S = 1e6; ///< A limit beyond it binds nobody.
+	static constexpr double MAX_PER_S = 1e6; ///< A limit beyond it binds nobody.
 	for (const HttpHeader &header : head.headers) {
 		if (strcasecmp(header.name.c_str(), "Server-Limit") != 0) continue;
-		std::optional<double> limit = DecimalNumber(header.value, MOST_PER_S);
+		std::optional<double> limit = DecimalNumber(header.value, MAX_PER_S);
 		if (!limit) {
-			signs->unreadable = true;
-			if (signs->limit == SignState::Absent) signs->limit = SignState::Unreadable;
+			signals->unreadable = true;
+			if (signals->limit == SignalState::Absent) signals->limit = SignalState::Unreadable;
 			continue;
 		}
-		signs->limit_per_s = signs->limit == SignState::Said ? std::min(signs->limit_per_s, *limit) : *limit;
-		signs->limit = SignState::Said;
+		signals->limit_per_s = signals->limit == SignalState::Present ? std::min(signals->limit_per_s, *limit) : *limit;
+		signals->limit = SignalState::Present;
 	}
 }
 
 /** Read the pause that \a head asks for: a number of seconds behind a status that turns the request away. */
-static void ReadPause(const HttpHead &head, TargetSigns *signs)
+static void ReadPause(const HttpHead &head, TargetSignals *signals)
 {
-	static constexpr double MOST_S = 86400; ///< A day: longer pauses count as one.
+	static constexpr double MAX_S = 86400; ///< A day: longer pauses count as one.
 	std::string_view text = FindHeader(head.headers, "Retry-After");
 	if (head.status != 503 || text.empty()) return;
-	std::optional<double> seconds = DecimalNumber(text, MOST_S);
-	if (!seconds) signs->unreadable = true;
-	signs->pause = FromSeconds(seconds.value_or(0));
+	std::optional<double> seconds = DecimalNumber(text, MAX_S);
+	if (!seconds) signals->unreadable = true;
+	signals->pause = FromSeconds(seconds.value_or(0));
 }
 
 /** @return What the target that gave the answer \a head says of itself. */
-static TargetSigns ReadSigns(const HttpHead &head)
+static TargetSignals ReadSigns(const HttpHead &head)
 {
-	TargetSigns signs;
+	TargetSignals signals;
 	// It is the word of another target, which has the address by now, or of nobody: a success without a stamp.
 	bool stamped = !FindHeader(head.headers, "X-Server-Stamp").empty();
-	if (head.status == 421 || (head.status / 100 == 2 && !stamped)) return signs;
-	ReadLimit(head, &signs);
-	ReadPause(head, &signs);
-	std::string_view leaving = FindHeader(head.headers, "Server-Leaving");
-	signs.leaving = leaving == "1";
-	if (!leaving.empty() && leaving != "1" && leaving != "0") signs.unreadable = true;
-	return signs;
+	if (head.status == 421 || (head.status / 100 == 2 && !stamped)) return signals;
+	ReadLimit(head, &signals);
+	ReadPause(head, &signals);
+	std::string_view draining = FindHeader(head.headers, "Server-Leaving");
+	signals.draining = draining == "1";
+	if (!draining.empty() && draining != "1" && draining != "0") signals.unreadable = true;
+	return signals;
 }
 
 AnswerInfo ReadAnswer(const HttpHead &head)
@@ -158,13 +158,13 @@
 	AnswerInfo info;
 	info.attempt = FindHeader(head.headers, "X-Attempt-Id");
 	// Another target has the address (421): by its kind that answer says that the request has not run.
-	info.not_run = !FindHeader(head.headers, "X-Not-Executed").empty() || head.status == 421;
+	info.not_executed = !FindHeader(head.headers, "X-Not-Executed").empty() || head.status == 421;
 	info.stamped = !FindHeader(head.headers, "X-Server-Stamp").empty();
 	std::vector<std::string_view> load = Split(FindHeader(head.headers, "X-Server-Load"));
 	if (load.size() == 3) {
-		info.load = TargetLoad{SmallNumber(load[0]), SmallNumber(load[1]), SmallNumber(load[2])};
+		info.load = TargetLoad{LeadingUint32(load[0]), LeadingUint32(load[1]), LeadingUint32(load[2])};
 	}
-	info.signs = ReadSigns(head);
+	info.signals = ReadSigns(head);
 	return info;
 }
 
--- a/src/platform/wire_request.h
+++ b/src/platform/wire_request.h
@@ -17,7 +17,7 @@
 	std::string key;                  ///< Client account's key; empty if there is none.
 	std::string model;                ///< Model asked for; empty for plain requests.
 	uint32_t prompt_tokens = 0;       ///< Length of the prompt.
-	uint32_t most_output_tokens = 0;  ///< Most output tokens.
+	uint32_t max_output_tokens = 0;   ///< Most output tokens.
 	uint32_t hinted_tokens = 0;       ///< Caller's estimate of the output; 0 if there is none.
 	std::string shared_prefix;        ///< Id of the prompt's last shared part; empty if there is none.
 };
@@ -55,10 +55,10 @@
 /** What an answer's header fields say. */
 struct AnswerInfo {
 	std::string attempt;            ///< Id of the try that it answers; empty if it names none.
-	bool not_run = false;           ///< The target says that the request has not run.
+	bool not_executed = false;      ///< The target says that the request has not run.
 	bool stamped = false;           ///< It carries the target's stamp.
 	std::optional<TargetLoad> load; ///< Load of the target.
-	TargetSigns signs;              ///< What the target says of itself.
+	TargetSignals signals;          ///< What the target says of itself.
 };
 
 /** Decode the fields of an answer. */
--- a/src/platform/wire_store.cpp
+++ b/src/platform/wire_store.cpp
@@ -9,15 +9,15 @@
 
 namespace cottonspool {
 
-static constexpr int PAGE_ROWS = 500;                  ///< Most rows of a page, as the store allows.
-static constexpr const char *ERA_HEADER = "Store-Era"; ///< Tells which life of the store answers.
+static constexpr int PAGE_ROWS = 500;                    ///< Most rows of a page, as the store allows.
+static constexpr const char *EPOCH_HEADER = "Store-Era"; ///< Tells which life of the store answers.
 
 /** @return The era that \a text names; 0 if it names none. */
-static uint64_t ParseEra(std::string_view text)
+static uint64_t ParseEpoch(std::string_view text)
 {
-	uint64_t era = 0;
-	auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), era);
-	return fault == std::errc() && end == text.data() + text.size() ? era : 0;
+	uint64_t epoch = 0;
+	auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), epoch);
+	return error == std::errc() && end == text.data() + text.size() ? epoch : 0;
 }
 
 /** Decode base64 \a text. @return Nothing when it is misspelt. */
@@ -65,13 +65,13 @@
 static std::optional<StoredRow> DecodeRow(const Json &from)
 {
 	// The row's key, whatever the name suggests.
-	if (!from.is_object() || TextOf(from, "tlsKey").empty()) return std::nullopt;
+	if (!from.is_object() || StringField(from, "tlsKey").empty()) return std::nullopt;
 	StoredRow row;
-	row.key = TextOf(from, "tlsKey");
-	row.version = CountOf(from, "ver");
-	row.deleted = FlagOf(from, "deleted");
+	row.key = StringField(from, "tlsKey");
+	row.version = UintField(from, "ver");
+	row.deleted = BoolField(from, "deleted");
 	if (row.deleted) return row;
-	std::optional<std::string> value = DecodeBase64(TextOf(from, "value"));
+	std::optional<std::string> value = DecodeBase64(StringField(from, "value"));
 	row.unreadable = !value || from.find("value") == from.end();
 	if (value) row.value = std::move(*value);
 	return row;
@@ -79,15 +79,15 @@
 
 RowsAnswer DecodeRows(int status, const std::string &text)
 {
-	if (status == 410) return {std::nullopt, StoreFailure::HistoryGone, "410"};
+	if (status == 410) return {std::nullopt, StoreFailure::HistoryUnavailable, "410"};
 	if (status == 429 || status == 503) return {std::nullopt, StoreFailure::Refused, std::to_string(status)};
 	if (status == 0) return {std::nullopt, StoreFailure::NoAnswer, "no whole answer"};
 	Json root = Json::parse(text, nullptr, false);
 	if (status != 200 || !root.is_object() || !root.contains("ver")) return {std::nullopt, StoreFailure::Malformed, std::to_string(status)};
 	RowsPage page;
-	page.version = CountOf(root, "ver");
-	page.more = FlagOf(root, "hasMore");
-	for (const Json &row : ListOf(root, "rows")) {
+	page.version = UintField(root, "ver");
+	page.more = BoolField(root, "hasMore");
+	for (const Json &row : ArrayField(root, "rows")) {
 		// One that can't be read takes nothing from the others.
 		if (std::optional<StoredRow> decoded = DecodeRow(row)) page.rows.push_back(std::move(*decoded));
 	}
@@ -107,7 +107,7 @@
 	call.body = std::move(body);
 	call.on_head = [answer](const HttpHead &head) {
 		answer->status = head.status;
-		answer->era = ParseEra(FindHeader(head.headers, ERA_HEADER));
+		answer->epoch = ParseEpoch(FindHeader(head.headers, EPOCH_HEADER));
 		return true;
 	};
 	call.on_body = [answer](std::string_view bytes) { answer->body.append(bytes); };
@@ -123,7 +123,7 @@
 {
 	return this->Call("GET", std::move(target), {}, [done = std::move(done)](const Answer &answer) {
 		RowsAnswer rows = DecodeRows(answer.status, answer.body);
-		rows.era = answer.era;
+		rows.epoch = answer.epoch;
 		if (answer.status == 0) rows.cause = answer.cause;
 		done(std::move(rows));
 	});
@@ -134,7 +134,7 @@
 	return this->Call("POST", "/-/rows-tx", std::move(body), [done = std::move(done)](const Answer &answer) {
 		int status = answer.status;
 		bool refused = status == 412 || status == 429 || status == 503 || status == 403;
-		done(status == 200 ? StoreWrite::Done : refused ? StoreWrite::NotDone : StoreWrite::Unknown);
+		done(status == 200 ? StoreWriteResult::Done : refused ? StoreWriteResult::NotDone : StoreWriteResult::Unknown);
 	});
 }
 
--- a/src/platform/wire_store.h
+++ b/src/platform/wire_store.h
@@ -20,8 +20,8 @@
 	uint64_t RemoveRow(const std::string &table, const std::string &key, WriteDone done) override;
 	void Cancel(uint64_t call) override { this->upstream.Cancel(call); }
 
-	/** The store is at \a moved_to from now on. */
-	void SetAddress(Endpoint moved_to) { this->address = std::move(moved_to); }
+	/** The store is at \a new_address from now on. */
+	void SetAddress(Endpoint new_address) { this->address = std::move(new_address); }
 
 	static constexpr const char *PEER = "store"; ///< Name under which its connections are kept.
 
@@ -29,7 +29,7 @@
 	/** A whole answer of the store, or none. */
 	struct Answer {
 		int status = 0;         ///< Status; 0 if no whole answer came.
-		uint64_t era = 0;       ///< Which life of the store it is; 0 if it does not tell.
+		uint64_t epoch = 0;     ///< Which life of the store it is; 0 if it does not tell.
 		std::string body;       ///< Body.
 		const char *cause = ""; ///< Why none came.
 	};
--- a/src/policy/policy_engine.cpp
+++ b/src/policy/policy_engine.cpp
@@ -47,7 +47,7 @@
 	return grown;
 }
 
-static void OnBudgetSpent(lua_State *lua, lua_Debug *)
+static void OnBudgetExceeded(lua_State *lua, lua_Debug *)
 {
 	luaL_error(lua, "instruction budget spent");
 }
@@ -108,7 +108,7 @@
 		delete budget;
 		return Error{Step::Policy, "policy", "no memory for a program"};
 	}
-	lua_sethook(loaded, OnBudgetSpent, LUA_MASKCOUNT, this->limits.instructions);
+	lua_sethook(loaded, OnBudgetExceeded, LUA_MASKCOUNT, this->limits.instructions);
 	lua_pushcfunction(loaded, OpenProgram);
 	lua_pushlstring(loaded, program.data(), program.size());
 	if (lua_pcall(loaded, 1, 0, 0) != LUA_OK) {
@@ -137,7 +137,7 @@
 {
 	this->counters.runs++;
 	BudgetOf(this->lua)->limit = this->limits.memory_bytes;
-	lua_sethook(this->lua, OnBudgetSpent, LUA_MASKCOUNT, this->limits.instructions);
+	lua_sethook(this->lua, OnBudgetExceeded, LUA_MASKCOUNT, this->limits.instructions);
 	if (lua_pcall(this->lua, arguments, 1, 0) == LUA_OK) return true;
 	const char *what = lua_tostring(this->lua, -1);
 	this->last_error = what == nullptr ? "failed" : what;
@@ -223,7 +223,7 @@
 	return drain;
 }
 
-Result<std::vector<std::string>> PolicyEngine::Try()
+Result<std::vector<std::string>> PolicyEngine::DryRun()
 {
 	std::vector<std::string> lines;
 	uint64_t failed = this->counters.fallbacks;
--- a/src/policy/policy_engine.h
+++ b/src/policy/policy_engine.h
@@ -62,7 +62,7 @@
 	bool Drain(const PolicyTarget &target);
 
 	/** Run every function on sample input. @return What it would decide, a line each, or the first error. */
-	Result<std::vector<std::string>> Try();
+	Result<std::vector<std::string>> DryRun();
 
 	/** @return Counters since the start. */
 	const PolicyCounters &Counters() const { return this->counters; }
--- a/src/settings/describe_settings.cpp
+++ b/src/settings/describe_settings.cpp
@@ -61,7 +61,7 @@
 }
 
 /** Bounds and defaults of the decisions. */
-static void DescribeDecisions(Settings &s, std::vector<SettingField> &fields)
+static void DescribeDispatch(Settings &s, std::vector<SettingField> &fields)
 {
 	DispatchLimits &d = s.dispatch;
 	fields.push_back({"dispatch.router",
@@ -101,7 +101,7 @@
 	std::vector<SettingField> fields;
 	DescribeInstance(settings, fields);
 	DescribeCalls(settings, fields);
-	DescribeDecisions(settings, fields);
+	DescribeDispatch(settings, fields);
 	return fields;
 }
 
@@ -127,7 +127,7 @@
 	bool is_text =
 	        std::holds_alternative<std::string *>(field.pointer) || std::holds_alternative<std::vector<std::string> *>(field.pointer);
 	if (std::holds_alternative<bool *>(field.pointer)) out << "true, false";
-	if (!is_text && !std::holds_alternative<bool *>(field.pointer)) out << field.least << " to " << field.most;
+	if (!is_text && !std::holds_alternative<bool *>(field.pointer)) out << field.min_value << " to " << field.max_value;
 	return out.str();
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -21,9 +21,9 @@
 template <typename Number>
 static Result<void> StoreNumber(const SettingField &field, const toml::node &node, const std::string &file, double value, Number *to)
 {
-	if (value < field.least || value > field.most) {
+	if (value < field.min_value || value > field.max_value) {
 		std::ostringstream allowed;
-		allowed << "must be from " << field.least << " to " << field.most;
+		allowed << "must be from " << field.min_value << " to " << field.max_value;
 		return SettingError(file, node, field.key, allowed.str());
 	}
 	*to = static_cast<Number>(value);
@@ -31,7 +31,7 @@
 }
 
 /** Store a text after checking it against the choices. */
-static Result<void> StoreText(const SettingField &field, const toml::node &node, const std::string &file, std::string *to)
+static Result<void> StoreString(const SettingField &field, const toml::node &node, const std::string &file, std::string *to)
 {
 	if (!node.is_string()) return SettingError(file, node, field.key, "must be a text in quotes");
 	std::string value = node.as_string()->get();
@@ -45,7 +45,7 @@
 }
 
 /** Store an array of texts. */
-static Result<void> StoreTexts(const SettingField &field, const toml::node &node, const std::string &file, std::vector<std::string> *to)
+static Result<void> StoreStrings(const SettingField &field, const toml::node &node, const std::string &file, std::vector<std::string> *to)
 {
 	if (!node.is_array()) return SettingError(file, node, field.key, "must be an array of texts");
 	for (const toml::node &item : *node.as_array()) {
@@ -58,8 +58,8 @@
 /** Store \a node where \a field says. */
 static Result<void> StoreValue(const SettingField &field, const toml::node &node, const std::string &file)
 {
-	if (auto text = std::get_if<std::string *>(&field.pointer)) return StoreText(field, node, file, *text);
-	if (auto texts = std::get_if<std::vector<std::string> *>(&field.pointer)) return StoreTexts(field, node, file, *texts);
+	if (auto text = std::get_if<std::string *>(&field.pointer)) return StoreString(field, node, file, *text);
+	if (auto texts = std::get_if<std::vector<std::string> *>(&field.pointer)) return StoreStrings(field, node, file, *texts);
 	if (auto flag = std::get_if<bool *>(&field.pointer)) {
 		if (!node.is_boolean()) return SettingError(file, node, field.key, "must be true or false");
 		**flag = node.as_boolean()->get();
@@ -80,7 +80,7 @@
 }
 
 /** Check that every key of \a document is described. */
-static Result<void> RejectUnknown(const toml::table &document, const std::vector<SettingField> &fields, const std::string &file)
+static Result<void> RejectUnknownKeys(const toml::table &document, const std::vector<SettingField> &fields, const std::string &file)
 {
 	for (const auto &[table_name, table] : document) {
 		if (!table.is_table()) return SettingError(file, table, std::string(table_name.str()), "must be a table; see docs/SETTINGS.md");
@@ -94,7 +94,7 @@
 }
 
 /** Checks that span several settings. */
-static Result<void> CheckTogether(const Settings &settings, const std::string &file)
+static Result<void> CheckConsistency(const Settings &settings, const std::string &file)
 {
 	if (settings.member_timeout < 2 * settings.heartbeat) {
 		return Error{Step::Settings, file, "peers.member_timeout_ms: must be at least twice peers.heartbeat_ms"};
@@ -114,14 +114,14 @@
 	Settings settings;
 	std::vector<SettingField> fields = DescribeSettings(settings);
 	BOOST_OUTCOME_TRY(document, ParseToml(text, file));
-	BOOST_OUTCOME_TRYV(RejectUnknown(document, fields, file));
+	BOOST_OUTCOME_TRYV(RejectUnknownKeys(document, fields, file));
 	for (const SettingField &field : fields) {
 		toml::node_view<toml::node> found = document.at_path(field.key);
 		if (!found && field.required) return Error{Step::Settings, file, field.key + ": is required: " + field.doc};
 		if (!found) continue;
 		BOOST_OUTCOME_TRYV(StoreValue(field, *found.node(), file));
 	}
-	BOOST_OUTCOME_TRYV(CheckTogether(settings, file));
+	BOOST_OUTCOME_TRYV(CheckConsistency(settings, file));
 	return settings;
 }
 
--- a/src/settings/settings_type.h
+++ b/src/settings/settings_type.h
@@ -66,8 +66,8 @@
 	std::string key;                  ///< "table.key"; times end in "_ms" and are whole milliseconds.
 	SettingPointer pointer;           ///< Where the value goes.
 	std::string doc;                  ///< What it is for.
-	double least = 0;                 ///< Least number allowed.
-	double most = 1e15;               ///< Largest number allowed.
+	double min_value = 0;             ///< Least number allowed.
+	double max_value = 1e15;          ///< Largest number allowed.
 	std::vector<std::string> choices; ///< Texts allowed; empty means any.
 	bool required = false;            ///< Must be in the file.
 };
--- a/src/settings/toml_parser.cpp
+++ b/src/settings/toml_parser.cpp
@@ -26,7 +26,7 @@
 }
 
 /** @return Whether the table header that begins \a text goes on with something that can begin a name. */
-static bool HeaderNames(std::string_view text)
+static bool HasTableName(std::string_view text)
 {
 	size_t at = text.find_first_not_of(" \t", text.starts_with("[[") ? 2 : 1);
 	if (at == std::string_view::npos) return false;
@@ -40,13 +40,13 @@
 class BracketCheck {
 public:
 	/** Take in the text at \a rest, whose first character is neither quoted nor in a comment. @return What is wrong; null for nothing. */
-	const char *Take(std::string_view rest)
+	const char *Consume(std::string_view rest)
 	{
 		char c = rest[0];
 		bool header = c == '[' && this->begins_line && this->open.empty();
 		this->begins_line = c == '\n' || (this->begins_line && (c == ' ' || c == '\t'));
 		this->in_header = header || (this->in_header && c != '\n');
-		if (header) return HeaderNames(rest) ? nullptr : "a table has no name";
+		if (header) return HasTableName(rest) ? nullptr : "a table has no name";
 		if (this->in_header && this->open.empty() && (c == '[' || c == ']')) return nullptr;
 		if (c == '[' || c == '{') this->open.push_back(c);
 		if (c != ']' && c != '}') return nullptr;
@@ -60,7 +60,7 @@
 	void Skip() { this->begins_line = false; }
 
 	/** @return Whether some are open. */
-	bool AnyOpen() const { return !this->open.empty(); }
+	bool HasOpenBrackets() const { return !this->open.empty(); }
 
 private:
 	std::string open;        ///< Arrays and tables in values that are open.
@@ -74,12 +74,12 @@
 {
 	size_t line = 1;
 	BracketCheck brackets;
-	auto fault = [&](const char *what) { return Error{Step::Settings, file + ":" + std::to_string(line), what}; };
+	auto error_at = [&](const char *what) { return Error{Step::Settings, file + ":" + std::to_string(line), what}; };
 	for (size_t i = 0; i < text.size(); i++) {
 		size_t skipped = 0;
 		bool quoted = text[i] == '"' || text[i] == '\'';
 		if (quoted) skipped = QuotedLength(text.substr(i));
-		if (quoted && skipped == 0) return fault("a quote is not closed");
+		if (quoted && skipped == 0) return error_at("a quote is not closed");
 		if (text[i] == '#') skipped = std::min(text.find('\n', i), text.size()) - i;
 		if (skipped > 0) {
 			std::string_view passed = text.substr(i, skipped);
@@ -88,11 +88,12 @@
 			brackets.Skip();
 			continue;
 		}
-		if (const char *wrong = brackets.Take(text.substr(i))) return fault(wrong);
+		if (const char *wrong = brackets.Consume(text.substr(i))) return error_at(wrong);
 		if (text[i] == '\n') line++;
-		if (static_cast<unsigned char>(text[i]) >= 0x80) return fault("letters beyond ASCII are allowed only inside quotes and comments");
+		if (static_cast<unsigned char>(text[i]) >= 0x80)
+			return error_at("letters beyond ASCII are allowed only inside quotes and comments");
 	}
-	if (brackets.AnyOpen()) return fault("a bracket is not closed");
+	if (brackets.HasOpenBrackets()) return error_at("a bracket is not closed");
 	return outcome::success();
 }
 
--- a/src/store/table_sharing.cpp
+++ b/src/store/table_sharing.cpp
@@ -14,7 +14,7 @@
 	return static_cast<size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-size_t TableSharing::PlaceOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const
+size_t TableSharing::PositionOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const
 {
 	if (table.halls.empty()) return IndexOf(table.order, instance);
 	// Of other halls only those that read for them are heard.
@@ -26,76 +26,76 @@
 void TableSharing::Share(TableWatch &watch)
 {
 	this->tables.push_back({&watch, {}, {}});
-	watch.SetPatience(watch.Limits().patience);
+	watch.SetTakeoverDelay(watch.Limits().takeover_delay);
 }
 
-void TableSharing::SetReaders(const std::vector<Reader> &readers, const std::vector<std::string> &halls, bool settling)
+void TableSharing::SetReaders(const std::vector<Reader> &readers, const std::vector<std::string> &halls, bool starting_up)
 {
-	for (SharedTable &each : this->tables) {
-		each.order = ReaderOrder(each.watch->OrderedBy(), readers);
-		each.halls = RendezvousChoice(each.watch->OrderedBy(), halls, halls.size());
-		auto place = static_cast<int>(this->PlaceOf(each, this->name, this->hall));
-		const WatchLimits &times = each.watch->Limits();
-		Duration patience = std::min<Duration>(times.patience_most, times.patience + times.patience_step * place);
-		each.watch->SetPatience(place == 0 && !settling ? Duration(0) : patience);
+	for (SharedTable &shared : this->tables) {
+		shared.order = ReaderOrder(shared.watch->ReaderOrderKey(), readers);
+		shared.halls = RendezvousChoice(shared.watch->ReaderOrderKey(), halls, halls.size());
+		auto position = static_cast<int>(this->PositionOf(shared, this->name, this->hall));
+		const WatchLimits &times = shared.watch->Limits();
+		Duration takeover_delay = std::min<Duration>(times.max_takeover_delay, times.takeover_delay + times.takeover_delay_step * position);
+		shared.watch->SetTakeoverDelay(position == 0 && !starting_up ? Duration(0) : takeover_delay);
 	}
 }
 
-bool TableSharing::ReadsForHall() const
+bool TableSharing::IsHallReader() const
 {
 	return std::any_of(this->tables.begin(), this->tables.end(),
-	                   [this](const SharedTable &each) { return !each.order.empty() && each.order.front() == this->name; });
+	                   [this](const SharedTable &shared) { return !shared.order.empty() && shared.order.front() == this->name; });
 }
 
-bool TableSharing::PassesOn(const std::string &teller_hall, bool relayed) const
+bool TableSharing::ShouldForward(const std::string &sender_hall, bool forwarded) const
 {
-	bool keeps_to_halls = !this->tables.empty() && !this->tables.front().halls.empty();
-	return keeps_to_halls && !relayed && teller_hall != this->hall;
+	bool stays_in_halls = !this->tables.empty() && !this->tables.front().halls.empty();
+	return stays_in_halls && !forwarded && sender_hall != this->hall;
 }
 
-void TableSharing::OnNews(const std::string &teller, const std::string &teller_hall, TableNews news, TimePoint now)
+void TableSharing::OnUpdate(const std::string &sender, const std::string &sender_hall, TableUpdate update, TimePoint now)
 {
-	for (SharedTable &each : this->tables) {
-		if (each.watch->Table() != news.table) continue;
+	for (SharedTable &shared : this->tables) {
+		if (shared.watch->Table() != update.table) continue;
 		// One that reads goes on until one before it in the order does: otherwise those that took over would stop each other.
 		// Only its reading of this very table counts: three instances that each were first for one of three tables read all three.
-		bool after = this->PlaceOf(each, teller, teller_hall) > this->PlaceOf(each, this->name, this->hall);
-		bool reads = each.watch->ReadsItself(now) && !each.watch->IsLost();
-		news.healthy = news.healthy && !(after && reads);
-		return each.watch->OnNews(news, now);
+		bool after = this->PositionOf(shared, sender, sender_hall) > this->PositionOf(shared, this->name, this->hall);
+		bool reads = shared.watch->ReadsFromStore(now) && !shared.watch->IsUnavailable();
+		update.healthy = update.healthy && !(after && reads);
+		return shared.watch->OnUpdate(update, now);
 	}
 }
 
-std::vector<std::string> TableSharing::Wanted() const
+std::vector<std::string> TableSharing::MissingSnapshots() const
 {
-	std::vector<std::string> wanted;
-	for (const SharedTable &each : this->tables) {
-		if (each.watch->IsWanted()) wanted.push_back(each.watch->Table());
+	std::vector<std::string> missing;
+	for (const SharedTable &shared : this->tables) {
+		if (shared.watch->NeedsSnapshot()) missing.push_back(shared.watch->Table());
 	}
-	return wanted;
+	return missing;
 }
 
-std::vector<TableNews> TableSharing::Whole(const std::vector<std::string> &asked) const
+std::vector<TableUpdate> TableSharing::Snapshot(const std::vector<std::string> &requested) const
 {
-	std::vector<TableNews> known;
-	for (const SharedTable &each : this->tables) {
-		if (std::find(asked.begin(), asked.end(), each.watch->Table()) == asked.end()) continue;
-		if (std::optional<TableNews> whole = each.watch->Whole()) known.push_back(std::move(*whole));
+	std::vector<TableUpdate> snapshots;
+	for (const SharedTable &shared : this->tables) {
+		if (std::find(requested.begin(), requested.end(), shared.watch->Table()) == requested.end()) continue;
+		if (std::optional<TableUpdate> full = shared.watch->Snapshot()) snapshots.push_back(std::move(*full));
 	}
-	return known;
+	return snapshots;
 }
 
-std::optional<StoreVersion> TableSharing::WholeVersion(const std::string &table) const
+std::optional<StoreVersion> TableSharing::SnapshotVersion(const std::string &table) const
 {
-	for (const SharedTable &each : this->tables) {
-		if (each.watch->Table() == table && each.watch->CanTellWhole()) return each.watch->RowsVersion();
+	for (const SharedTable &shared : this->tables) {
+		if (shared.watch->Table() == table && shared.watch->HasSnapshot()) return shared.watch->RowsVersion();
 	}
 	return std::nullopt;
 }
 
 void TableSharing::OnTick(TimePoint now)
 {
-	for (SharedTable &each : this->tables) each.watch->OnTick(now);
+	for (SharedTable &shared : this->tables) shared.watch->OnTick(now);
 }
 
 } // namespace cottonspool
--- a/src/store/table_sharing.h
+++ b/src/store/table_sharing.h
@@ -24,30 +24,30 @@
 	/**
 	 * This instance and its live peers have changed, or may have.
 	 * @param halls Data halls that share the reading; none where news don't keep to halls.
-	 * @param settling This instance has just started and hears nobody yet: it doesn't read for others.
+	 * @param starting_up This instance has just started and hears nobody yet: it doesn't read for others.
 	 */
-	void SetReaders(const std::vector<Reader> &readers, const std::vector<std::string> &halls, bool settling);
+	void SetReaders(const std::vector<Reader> &readers, const std::vector<std::string> &halls, bool starting_up);
 
-	/** Take in what the instance \a teller of \a teller_hall tells of a table. */
-	void OnNews(const std::string &teller, const std::string &teller_hall, TableNews news, TimePoint now);
+	/** Take in what the instance \a sender of \a sender_hall tells of a table. */
+	void OnUpdate(const std::string &sender, const std::string &sender_hall, TableUpdate update, TimePoint now);
 
 	/**
-	 * @param relayed An instance of this hall has passed them on already.
-	 * @return Whether news of tables that an instance of \a teller_hall told are passed on in this instance's hall.
+	 * @param forwarded An instance of this hall has passed them on already.
+	 * @return Whether news of tables that an instance of \a sender_hall told are passed on in this instance's hall.
 	 */
-	[[nodiscard]] bool PassesOn(const std::string &teller_hall, bool relayed) const;
+	[[nodiscard]] bool ShouldForward(const std::string &sender_hall, bool forwarded) const;
 
 	/** @return Whether this instance is the first of its hall that reads one of the tables. */
-	bool ReadsForHall() const;
+	bool IsHallReader() const;
 
 	/** @return Tables that are wanted whole from other instances. */
-	std::vector<std::string> Wanted() const;
+	std::vector<std::string> MissingSnapshots() const;
 
 	/** @return What is known here of \a tables, whole; those that are not known are left out. */
-	std::vector<TableNews> Whole(const std::vector<std::string> &asked) const;
+	std::vector<TableUpdate> Snapshot(const std::vector<std::string> &requested) const;
 
 	/** @return The version of \a table, if it is known here and can be told whole. */
-	std::optional<StoreVersion> WholeVersion(const std::string &table) const;
+	std::optional<StoreVersion> SnapshotVersion(const std::string &table) const;
 
 	/** Time has passed. */
 	void OnTick(TimePoint now);
@@ -61,7 +61,7 @@
 	};
 
 	/** @return The place of an instance in the order in which \a table is read for all; 0 reads it. */
-	size_t PlaceOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const;
+	size_t PositionOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const;
 
 	std::string name;                ///< Name of this instance.
 	std::string hall;                ///< Data hall it stands in.
--- a/src/store/table_store_base.h
+++ b/src/store/table_store_base.h
@@ -31,11 +31,11 @@
 };
 
 /** What an instance that reads a table itself tells the others of it. */
-struct TableNews {
+struct TableUpdate {
 	std::string table;           ///< Table.
 	StoreVersion from;           ///< Version after which the rows are.
 	StoreVersion to;             ///< Version up to which they are.
-	bool whole = false;          ///< The rows are the whole table.
+	bool full = false;           ///< The rows are the whole table.
 	bool healthy = false;        ///< The store answers the teller.
 	std::vector<StoredRow> rows; ///< Rows; none in a sign of life, and where none of those that changed concerns the receivers.
 	StoreVersion read;           ///< Version of the whole store at which the teller knew the table like this.
@@ -43,10 +43,10 @@
 
 /** Why the store gave no rows. */
 enum class StoreFailure : uint8_t {
-	NoAnswer,    ///< No connection, or it broke.
-	Refused,     ///< It turned the call away: nothing was done.
-	HistoryGone, ///< Changes since that version are not known, or no longer: read the table again.
-	Malformed,   ///< The answer could not be read.
+	NoAnswer,           ///< No connection, or it broke.
+	Refused,            ///< It turned the call away: nothing was done.
+	HistoryUnavailable, ///< Changes since that version are not known, or no longer: read the table again.
+	Malformed,          ///< The answer could not be read.
 };
 
 /** @return The name of \a failure for logs. */
@@ -57,11 +57,11 @@
 	std::optional<RowsPage> page;                  ///< Rows, if they came.
 	StoreFailure failure = StoreFailure::NoAnswer; ///< Why not, otherwise.
 	std::string cause;                             ///< What went wrong, for logs.
-	uint64_t era = 0;                              ///< Which life of the store answered, as it tells itself; 0 if it does not.
+	uint64_t epoch = 0;                            ///< Which life of the store answered, as it tells itself; 0 if it does not.
 };
 
 /** What became of a write. */
-enum class StoreWrite : uint8_t {
+enum class StoreWriteResult : uint8_t {
 	Done,    ///< It was done.
 	NotDone, ///< Certain: nothing was done.
 	Unknown, ///< It may have been done, or may be done yet.
@@ -71,7 +71,7 @@
 class TableStore {
 public:
 	using RowsDone = std::function<void(RowsAnswer)>;
-	using WriteDone = std::function<void(StoreWrite)>;
+	using WriteDone = std::function<void(StoreWriteResult)>;
 
 	virtual ~TableStore() = default;
 
--- a/src/store/table_watch.cpp
+++ b/src/store/table_watch.cpp
@@ -14,7 +14,7 @@
 		return "no-answer";
 	case StoreFailure::Refused:
 		return "refused";
-	case StoreFailure::HistoryGone:
+	case StoreFailure::HistoryUnavailable:
 		return "history-gone";
 	case StoreFailure::Malformed:
 		return "malformed";
@@ -29,7 +29,7 @@
 }
 
 TableWatch::TableWatch(TableStore &store, std::string table, WatchLimits limits, Clock clock)
-    : store(store), clock(std::move(clock)), table(std::move(table)), limits(limits), read_time(limits.read_limit),
+    : store(store), clock(std::move(clock)), table(std::move(table)), limits(limits), read_timeout(limits.min_read_timeout),
       alive(std::make_shared<bool>(true))
 {
 }
@@ -37,204 +37,206 @@
 TableWatch::~TableWatch()
 {
 	*this->alive = false;
-	this->GiveUpCall();
+	this->CancelCall();
 }
 
-void TableWatch::ReadWith(const TableWatch &leading)
+void TableWatch::SetLeadTable(const TableWatch &lead)
 {
-	this->lead = &leading;
-	this->WaitForReturnAt(leading);
+	this->lead_table = &lead;
+	this->SetRecoveryProbe(lead);
 }
 
 void TableWatch::Start(TimePoint now)
 {
 	this->started = true;
 	// What there is to know is told by whoever reads it; a table without rows costs a start no call.
-	this->known = this->lead != nullptr;
-	this->wants_whole = !this->known;
+	this->known = this->lead_table != nullptr;
+	this->needs_snapshot = !this->known;
 	if (this->known) return;
 	this->ReadPage(now);
 }
 
-void TableWatch::StartAmongOthers(TimePoint read_at)
+void TableWatch::StartFromPeers(TimePoint read_at)
 {
 	this->started = true;
-	this->whole_at = read_at;
+	this->snapshot_due = read_at;
 }
 
-void TableWatch::Renew(TimePoint read_at)
+void TableWatch::RefreshSnapshot(TimePoint read_at)
 {
-	this->wants_whole = true;
-	this->whole_at = read_at;
+	this->needs_snapshot = true;
+	this->snapshot_due = read_at;
 }
 
-bool TableWatch::ReadsItself(TimePoint now) const
+bool TableWatch::ReadsFromStore(TimePoint now) const
 {
-	return this->ReadsForAll(now) || this->ReadsWhole(now) || this->behind || this->catch_up;
+	return this->ReadsForPeers(now) || this->SnapshotIsDue(now) || this->behind || this->catch_up;
 }
 
-bool TableWatch::ReadsForAll(TimePoint now) const
+bool TableWatch::ReadsForPeers(TimePoint now) const
 {
-	if (!this->known && now < this->whole_at) return false;
-	if (this->lead != nullptr) return this->lead->ReadsForAll(now);
-	return this->patience == Duration(0) || now - this->news_at > this->patience;
+	if (!this->known && now < this->snapshot_due) return false;
+	if (this->lead_table != nullptr) return this->lead_table->ReadsForPeers(now);
+	return this->takeover_delay == Duration(0) || now - this->peer_update_at > this->takeover_delay;
 }
 
-std::optional<TableNews> TableWatch::SignOfLife() const
+std::optional<TableUpdate> TableWatch::HeartbeatUpdate() const
 {
 	if (!this->following || this->lost) return std::nullopt;
-	return TableNews{this->table, this->rows_version, this->rows_version, false, true, {}, this->version};
+	return TableUpdate{this->table, this->rows_version, this->rows_version, false, true, {}, this->version};
 }
 
-std::optional<TableNews> TableWatch::Whole() const
+std::optional<TableUpdate> TableWatch::Snapshot() const
 {
-	if (!this->CanTellWhole()) return std::nullopt;
-	TableNews news{this->table, StoreVersion{}, this->rows_version, true, !this->lost, {}, this->version};
-	for (const auto &[key, row] : this->kept) news.rows.push_back(row);
-	return news;
+	if (!this->HasSnapshot()) return std::nullopt;
+	TableUpdate update{this->table, StoreVersion{}, this->rows_version, true, !this->lost, {}, this->version};
+	for (const auto &[key, row] : this->kept_rows) update.rows.push_back(row);
+	return update;
 }
 
-void TableWatch::Keep(const std::vector<StoredRow> &rows, bool whole)
+void TableWatch::UpdateKeptRows(const std::vector<StoredRow> &rows, bool full)
 {
-	if (!this->limits.keep) return;
-	if (whole) this->kept.clear();
+	if (!this->limits.keep_rows) return;
+	if (full) this->kept_rows.clear();
 	for (const StoredRow &row : rows) {
 		if (row.deleted) {
-			this->kept.erase(row.key);
+			this->kept_rows.erase(row.key);
 		} else {
-			this->kept[row.key] = row;
+			this->kept_rows[row.key] = row;
 		}
 	}
 }
 
-void TableWatch::TellRead(StoreVersion from, bool whole, const std::vector<StoredRow> &rows, TimePoint now)
+void TableWatch::PublishRead(StoreVersion from, bool full, const std::vector<StoredRow> &rows, TimePoint now)
 {
 	// One that only caught up has nothing to tell: the others have heard it from the one that reads for all.
-	bool reads_for_all = this->ReadsForAll(now);
-	if (this->on_read && reads_for_all) this->on_read({this->table, from, this->rows_version, whole, true, rows, this->version});
+	bool reads_for_peers = this->ReadsForPeers(now);
+	if (this->on_publish && reads_for_peers) this->on_publish({this->table, from, this->rows_version, full, true, rows, this->version});
 }
 
-void TableWatch::NoteRows(const std::vector<StoredRow> &rows)
+void TableWatch::AdvanceRowsVersion(const std::vector<StoredRow> &rows)
 {
 	// A table without rows is known as of its era.
-	this->rows_version = std::max(this->rows_version, StoreVersion{this->version.era, 0});
-	for (const StoredRow &row : rows) this->rows_version = std::max(this->rows_version, StoreVersion{this->version.era, row.version});
+	this->rows_version = std::max(this->rows_version, StoreVersion{this->version.epoch, 0});
+	for (const StoredRow &row : rows) this->rows_version = std::max(this->rows_version, StoreVersion{this->version.epoch, row.version});
 	// What was told of is known now, even if its last change was a removal that a whole read does not show.
-	if (this->wanted <= this->version) this->rows_version = std::max(this->rows_version, this->wanted);
-	this->behind = this->wanted > this->rows_version;
+	if (this->advertised <= this->version) this->rows_version = std::max(this->rows_version, this->advertised);
+	this->behind = this->advertised > this->rows_version;
 }
 
-void TableWatch::OnNews(const TableNews &news, TimePoint now)
+void TableWatch::OnUpdate(const TableUpdate &update, TimePoint now)
 {
-	if (news.table != this->table) return;
-	bool first = news.whole && this->wants_whole && this->started;
+	if (update.table != this->table) return;
+	bool first = update.full && this->needs_snapshot && this->started;
 	if (!this->known && !first) return;
 	// Whoever tells this has not met the store as it is now: neither its rows nor its sign of life tell anything of it.
-	if (news.to.era < this->version.era) return;
-	if (news.healthy) {
+	if (update.to.epoch < this->version.epoch) return;
+	if (update.healthy) {
 		// For one that has given the store up, its return is news by itself: rows may have lapsed meanwhile.
 		// One that still has to read what could not be passed on has not regained it: only an own answer tells that.
-		bool returns = this->lost && this->call == 0 && !this->behind && news.to <= this->rows_version;
+		bool returns = this->lost && this->call == 0 && !this->behind && update.to <= this->rows_version;
 		// After a silence the store is back for somebody: what could not be passed on is asked for at once, without the rest of a pause.
-		if (this->lost && now - this->news_at > this->patience) this->not_before = std::min(this->not_before, now);
-		this->news_at = now;
+		if (this->lost && now - this->peer_update_at > this->takeover_delay) this->next_call_at = std::min(this->next_call_at, now);
+		this->peer_update_at = now;
 		if (returns) this->OnAnswered(now);
-		if (news.to == this->rows_version) this->confirmed = now;
+		if (update.to == this->rows_version) this->confirmed_at = now;
 		// Whoever takes the reading over goes on from there: the store forgets what is long past.
-		if (news.to == this->rows_version && news.read.era == this->version.era) this->version = std::max(this->version, news.read);
+		if (update.to == this->rows_version && update.read.epoch == this->version.epoch)
+			this->version = std::max(this->version, update.read);
 	}
-	if (news.to < this->rows_version || (news.to == this->rows_version && !first)) return;
-	bool other = this->IsOfOtherStore(news.to);
+	if (update.to < this->rows_version || (update.to == this->rows_version && !first)) return;
+	bool other = this->IsOtherEpoch(update.to);
 	// A table whose last change has no number has no rows: whoever says so has said all.
-	bool whole = news.whole || news.to.number == 0;
+	bool full = update.full || update.to.number == 0;
 	// A sign of life that is ahead says that there is more to read; changes that don't concern anybody here are told without rows.
-	bool has_changes = !news.rows.empty() || news.from < news.to;
-	bool fits = whole || (has_changes && !other && (this->limits.gaps || news.from <= this->rows_version));
-	if (!fits && this->limits.gaps && !other) return;
+	bool has_changes = !update.rows.empty() || update.from < update.to;
+	bool fits = full || (has_changes && !other && (this->limits.allow_gaps || update.from <= this->rows_version));
+	if (!fits && this->limits.allow_gaps && !other) return;
 	// What is asked of the former store, or since one of its versions, tells nothing of the one that is there now.
-	if (other) this->GiveUpCall();
+	if (other) this->CancelCall();
 	if (!fits) {
 		if (other) this->following = false;
-		this->wanted = std::max(this->wanted, news.to);
-		return this->NoteRows({});
+		this->advertised = std::max(this->advertised, update.to);
+		return this->AdvanceRowsVersion({});
 	}
-	this->TakeNews(news, whole, other, now);
+	this->ApplyUpdate(update, full, other, now);
 }
 
-void TableWatch::TakeNews(const TableNews &news, bool whole, bool other, TimePoint now)
+void TableWatch::ApplyUpdate(const TableUpdate &update, bool full, bool other, TimePoint now)
 {
 	StoreVersion before = this->version;
-	this->version = std::max(this->version, news.to);
-	this->rows_version = news.to;
-	if (whole && this->wants_whole) {
-		this->GiveUpCall();
-		this->OnWholeKnown(now);
+	this->version = std::max(this->version, update.to);
+	this->rows_version = update.to;
+	if (full && this->needs_snapshot) {
+		this->CancelCall();
+		this->OnSnapshotKnown(now);
 	}
 	if (other) this->following = true;
-	if (other && this->on_other_store) this->on_other_store({before, news.to, true}, now);
-	this->NoteRows({});
-	this->confirmed = now;
-	this->Keep(news.rows, whole);
-	if (whole && this->on_all) this->on_all(news.rows, now);
-	if (!whole && this->on_changes) this->on_changes(news.rows, now);
+	if (other && this->on_store_restored) this->on_store_restored({before, update.to, true}, now);
+	this->AdvanceRowsVersion({});
+	this->confirmed_at = now;
+	this->UpdateKeptRows(update.rows, full);
+	if (full && this->on_snapshot) this->on_snapshot(update.rows, now);
+	if (!full && this->on_changes) this->on_changes(update.rows, now);
 }
 
-void TableWatch::OnWholeKnown(TimePoint now)
+void TableWatch::OnSnapshotKnown(TimePoint now)
 {
 	// What was read just now is as good as news: an instance that starts among others leaves the following to them.
-	if (!this->known) this->news_at = now;
+	if (!this->known) this->peer_update_at = now;
 	this->known = true;
 	this->following = true;
-	this->wants_whole = false;
+	this->needs_snapshot = false;
 	this->pages.clear();
 	this->next_key.clear();
 }
 
-void TableWatch::GoOn(TimePoint now)
+void TableWatch::ContinueReading(TimePoint now)
 {
-	if (this->call == 0 && now >= this->not_before && this->following && this->ReadsItself(now)) this->ReadChanges(now);
+	if (this->call == 0 && now >= this->next_call_at && this->following && this->ReadsFromStore(now)) this->ReadChanges(now);
 }
 
 void TableWatch::OnTick(TimePoint now)
 {
 	if (!this->started) return;
-	this->FollowLoss(now);
-	if (this->call != 0 && now >= this->call_limit) {
-		this->GiveUpCall();
-		if (!this->following) this->read_time = std::min(this->limits.read_most, 2 * this->read_time);
+	this->CheckLeadTable(now);
+	if (this->call != 0 && now >= this->call_deadline) {
+		this->CancelCall();
+		if (!this->following) this->read_timeout = std::min(this->limits.max_read_timeout, 2 * this->read_timeout);
 		this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "no answer in time"}, now);
 	}
-	if (this->call != 0 || !this->ReadsItself(now) || this->LeavesItToProbe(now) || now < this->not_before) return;
-	if (this->following && !this->ReadsWhole(now)) {
+	if (this->call != 0 || !this->ReadsFromStore(now) || this->DefersToProbe(now) || now < this->next_call_at) return;
+	if (this->following && !this->SnapshotIsDue(now)) {
 		this->ReadChanges(now);
 	} else {
 		this->ReadPage(now);
 	}
 }
 
-void TableWatch::FollowLoss(TimePoint now)
+void TableWatch::CheckLeadTable(TimePoint now)
 {
 	// The wait for a change is long here: that the store is gone is seen sooner where it is asked more often.
-	if (this->lead == nullptr || !this->lead->IsLost() || this->call == 0 || this->lost) return;
-	this->GiveUpCall();
+	if (this->lead_table == nullptr || !this->lead_table->IsUnavailable() || this->call == 0 || this->lost) return;
+	this->CancelCall();
 	this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "lost where it is asked more often"}, now);
 }
 
-bool TableWatch::LeavesItToProbe(TimePoint now)
+bool TableWatch::DefersToProbe(TimePoint now)
 {
-	bool leaves = this->lost && this->probe != nullptr && this->probe->IsLost() && this->probe->ReadsItself(now);
-	if (this->waits_for_probe && !leaves) this->not_before = now;
-	this->waits_for_probe = leaves;
+	bool leaves = this->lost && this->recovery_probe != nullptr && this->recovery_probe->IsUnavailable() &&
+	              this->recovery_probe->ReadsFromStore(now);
+	if (this->awaits_probe && !leaves) this->next_call_at = now;
+	this->awaits_probe = leaves;
 	return leaves;
 }
 
-void TableWatch::NoteCall(ReadReason reason)
+void TableWatch::CountCall(ReadReason reason)
 {
 	this->calls++;
 	if (this->on_call) this->on_call(reason);
 }
 
-void TableWatch::BeginWholeRead(TimePoint now)
+void TableWatch::BeginSnapshotRead(TimePoint now)
 {
 	this->following = false;
 	this->next_key.clear();
@@ -243,10 +245,10 @@
 
 void TableWatch::ReadPage(TimePoint now)
 {
-	this->NoteCall(ReadReason::Whole);
-	this->asked = this->version;
-	if (this->next_key.empty()) this->asked_wanted = this->wanted;
-	this->call_limit = now + this->read_time;
+	this->CountCall(ReadReason::Snapshot);
+	this->call_version = this->version;
+	if (this->next_key.empty()) this->call_advertised = this->advertised;
+	this->call_deadline = now + this->read_timeout;
 	this->call = this->store.ReadRows(this->table, this->next_key, [this, held = this->alive](RowsAnswer answer) {
 		if (*held) this->OnPage(std::move(answer));
 	});
@@ -254,24 +256,24 @@
 
 ReadReason TableWatch::ReasonToRead(TimePoint now) const
 {
-	if (this->lost) return ReadReason::Lost;
+	if (this->lost) return ReadReason::Probe;
 	if (this->behind) return ReadReason::Behind;
 	if (this->catch_up) return ReadReason::CatchUp;
-	bool takes_over = this->patience > Duration(0) && now - this->confirmed > this->patience;
+	bool takes_over = this->takeover_delay > Duration(0) && now - this->confirmed_at > this->takeover_delay;
 	return takes_over ? ReadReason::TakeOver : ReadReason::Follow;
 }
 
 void TableWatch::ReadChanges(TimePoint now)
 {
 	ReadReason reason = this->ReasonToRead(now);
-	this->NoteCall(reason);
-	this->call_limit = now + this->limits.wait + this->limits.slack;
+	this->CountCall(reason);
+	this->call_deadline = now + this->limits.wait + this->limits.slack;
 	// After a failure the next answer is wanted soon: it tells that the store is back.
 	// One that takes the reading over asks for an answer at once: the others are to hear that it does.
-	this->asked = this->version;
-	bool at_once = reason != ReadReason::Follow;
-	Duration wait = at_once ? Duration(0) : this->limits.wait;
-	if (at_once) this->call_limit = now + this->read_time;
+	this->call_version = this->version;
+	bool immediate = reason != ReadReason::Follow;
+	Duration wait = immediate ? Duration(0) : this->limits.wait;
+	if (immediate) this->call_deadline = now + this->read_timeout;
 	this->call = this->store.ReadChanges(this->table, this->version.number, wait, [this, held = this->alive](RowsAnswer answer) {
 		if (*held) this->OnChanges(std::move(answer));
 	});
@@ -279,19 +281,19 @@
 
 StoreVersion TableWatch::VersionOf(const RowsAnswer &answer, uint64_t number) const
 {
-	return {answer.era == 0 ? this->version.era : answer.era, number};
+	return {answer.epoch == 0 ? this->version.epoch : answer.epoch, number};
 }
 
-void TableWatch::GiveUpCall()
+void TableWatch::CancelCall()
 {
 	if (this->call != 0) this->store.Cancel(this->call);
 	this->call = 0;
 }
 
-void TableWatch::DropDisproved()
+void TableWatch::DiscardRefutedUpdate()
 {
 	// The store itself, asked after that was told, knows of no such era: it would be asked for ever.
-	if (this->wanted.era > this->version.era && this->wanted == this->asked_wanted) this->wanted = StoreVersion{};
+	if (this->advertised.epoch > this->version.epoch && this->advertised == this->call_advertised) this->advertised = StoreVersion{};
 }
 
 void TableWatch::OnPage(RowsAnswer answer)
@@ -302,8 +304,8 @@
 	RowsPage &page = *answer.page;
 	StoreVersion read = this->VersionOf(answer, page.version);
 	bool first = this->next_key.empty();
-	bool overtaken = this->IsOvertaken(read) || (!first && read.era != this->pages_version.era);
-	if (overtaken) return this->BeginWholeRead(now);
+	bool superseded = this->IsSuperseded(read) || (!first && read.epoch != this->pages_version.epoch);
+	if (superseded) return this->BeginSnapshotRead(now);
 	if (first) {
 		this->pages.clear();
 		this->pages_version = read;
@@ -314,26 +316,26 @@
 		return this->ReadPage(now);
 	}
 	this->next_key.clear();
-	bool other = this->IsOfOtherStore(this->pages_version);
+	bool other = this->IsOtherEpoch(this->pages_version);
 	// A replica that lags must not take us back: read again a little later.
 	if (!other && this->pages_version < this->version) {
-		if (this->on_older) this->on_older(this->pages_version);
-		return this->OnFailure({std::nullopt, StoreFailure::Malformed, "older than known", answer.era}, now);
+		if (this->on_stale_snapshot) this->on_stale_snapshot(this->pages_version);
+		return this->OnFailure({std::nullopt, StoreFailure::Malformed, "older than known", answer.epoch}, now);
 	}
 	StoreVersion before = this->version;
 	this->version = this->pages_version;
 	if (other) this->rows_version = StoreVersion{};
 	std::vector<StoredRow> rows = std::move(this->pages);
-	this->OnWholeKnown(now);
-	this->DropDisproved();
+	this->OnSnapshotKnown(now);
+	this->DiscardRefutedUpdate();
 	this->OnAnswered(now);
-	if (other && this->on_other_store) this->on_other_store({before, this->version, false}, now);
-	this->NoteRows(rows);
-	if (this->select) this->select(rows, true);
-	this->Keep(rows, true);
-	this->TellRead(StoreVersion{}, true, rows, now);
-	if (this->on_all) this->on_all(rows, now);
-	this->GoOn(now);
+	if (other && this->on_store_restored) this->on_store_restored({before, this->version, false}, now);
+	this->AdvanceRowsVersion(rows);
+	if (this->filter_rows) this->filter_rows(rows, true);
+	this->UpdateKeptRows(rows, true);
+	this->PublishRead(StoreVersion{}, true, rows, now);
+	if (this->on_snapshot) this->on_snapshot(rows, now);
+	this->ContinueReading(now);
 }
 
 void TableWatch::OnChanges(RowsAnswer answer)
@@ -342,44 +344,44 @@
 	this->call = 0;
 	StoreVersion read = this->VersionOf(answer, answer.page ? answer.page->version : 0);
 	// Asked of a former store: whatever came is no answer to what is to be known now.
-	if (this->asked.era < this->version.era && read.era <= this->version.era) return this->GoOn(now);
-	bool other = this->IsOfOtherStore(read);
-	if (other || (!answer.page && answer.failure == StoreFailure::HistoryGone)) return this->BeginWholeRead(now);
+	if (this->call_version.epoch < this->version.epoch && read.epoch <= this->version.epoch) return this->ContinueReading(now);
+	bool other = this->IsOtherEpoch(read);
+	if (other || (!answer.page && answer.failure == StoreFailure::HistoryUnavailable)) return this->BeginSnapshotRead(now);
 	if (!answer.page) return this->OnFailure(answer, now);
 	this->catch_up = false;
 	StoreVersion before = this->rows_version;
 	this->version = std::max(this->version, read);
 	std::vector<StoredRow> rows = std::move(answer.page->rows);
 	bool changed = !rows.empty();
-	this->NoteRows(rows);
-	if (this->select) this->select(rows, false);
-	this->Keep(rows, false);
+	this->AdvanceRowsVersion(rows);
+	if (this->filter_rows) this->filter_rows(rows, false);
+	this->UpdateKeptRows(rows, false);
 	this->OnAnswered(now);
-	this->TellRead(changed ? before : this->rows_version, false, rows, now);
-	if (changed) this->not_before = now + this->limits.gather;
+	this->PublishRead(changed ? before : this->rows_version, false, rows, now);
+	if (changed) this->next_call_at = now + this->limits.batch_delay;
 	if (!rows.empty() && this->on_changes) this->on_changes(rows, now);
-	this->GoOn(now);
+	this->ContinueReading(now);
 }
 
 void TableWatch::OnFailure(const RowsAnswer &answer, TimePoint now)
 {
 	if (!this->lost) {
 		this->lost = true;
-		this->lost_since = now;
-		if (this->on_lost) this->on_lost(answer, now);
+		this->unavailable_since = now;
+		if (this->on_unavailable) this->on_unavailable(answer, now);
 	}
-	this->pause = std::clamp(2 * this->pause, this->limits.pause_least, this->limits.pause_most);
-	this->not_before = now + this->pause;
+	this->backoff = std::clamp(2 * this->backoff, this->limits.min_backoff, this->limits.max_backoff);
+	this->next_call_at = now + this->backoff;
 }
 
 void TableWatch::OnAnswered(TimePoint now)
 {
-	this->confirmed = now;
-	this->pause = Duration(0);
-	this->read_time = this->limits.read_limit;
+	this->confirmed_at = now;
+	this->backoff = Duration(0);
+	this->read_timeout = this->limits.min_read_timeout;
 	if (!this->lost) return;
 	this->lost = false;
-	if (this->on_regained) this->on_regained(now - this->lost_since, now);
+	if (this->on_reconnected) this->on_reconnected(now - this->unavailable_since, now);
 }
 
 } // namespace cottonspool
--- a/src/tests/call_queue_test.cpp
+++ b/src/tests/call_queue_test.cpp
@@ -9,12 +9,12 @@
 
 TEST_CASE("Queue - a plain call does not wait behind a generation that waits for room")
 {
-	Dispatcher dispatcher({}, MakeRouter("headroom", 1, {.use_press = false}));
+	Dispatcher dispatcher({}, MakeRouter("headroom", 1, {.use_overcommit = false}));
 	TimePoint now{std::chrono::seconds(10)};
 	TargetNumber engine = dispatcher.Targets().Configure("engine", "hall", {ModelNumber{0}}, true);
 	TargetNumber service = dispatcher.Targets().Configure("service", "hall", {ModelNumber{1}}, false);
 	dispatcher.OnReport(engine, {.sequence = 1, .capacity_tokens = 4000}, now);
-	dispatcher.Targets().SetUnreported(service, 6);
+	dispatcher.Targets().SetServiceCapacity(service, 6);
 	auto call = [&](uint64_t id, bool generated) {
 		CallSpec spec;
 		spec.id = CallId{id};
--- a/src/tests/cell_division_test.cpp
+++ b/src/tests/cell_division_test.cpp
@@ -29,7 +29,7 @@
 PeerDirectory KnownBy(size_t own, size_t instances)
 {
 	PeerDirectory directory(InstanceName(own), HallName(own), DialLimits{});
-	for (size_t i = 0; i < instances; i++) directory.Note(InstanceName(i), {InstanceName(i), HallName(i), 20});
+	for (size_t i = 0; i < instances; i++) directory.Update(InstanceName(i), {InstanceName(i), HallName(i), 20});
 	directory.Divide(true, {1, 10}, false);
 	return directory;
 }
@@ -40,10 +40,10 @@
 	std::vector<TargetRow> rows;
 	for (size_t i = 0; i < instances * TARGETS_EACH; i++) {
 		ListedTarget target;
-		target.life = {"target-" + std::to_string(i), 1};
+		target.incarnation = {"target-" + std::to_string(i), 1};
 		target.pool = i % 16 == 0 ? "service" : i < 15 ? "rare" : "engines";
 		target.hall = HallName(i);
-		rows.push_back({target.life.id, target});
+		rows.push_back({target.incarnation.id, target});
 	}
 	return rows;
 }
@@ -61,7 +61,7 @@
 			CHECK(directory.Size() == instances - 1);
 			auto none = [](const std::string &) { return LinkState::None; };
 			WantedLinks wanted = directory.Wanted(none, true, TimePoint{} + std::chrono::hours(1));
-			most_links[instances] = std::max(most_links[instances], wanted.peers.size() + wanted.relays.size());
+			most_links[instances] = std::max(most_links[instances], wanted.peers.size() + wanted.forwarders.size());
 			TargetDivision division(InstanceName(own));
 			division.Divide(targets, directory.Cells().cells);
 			size_t known = 0;
@@ -82,15 +82,15 @@
 TEST_CASE("Cells - a fleet of up to 96 instances a hall is one cell, as it costs little, and a larger one has cells of 12 to 32 a hall")
 {
 	CellDivision division("own");
-	CHECK_FALSE(division.OnList(CellDivision::UNDIVIDED_MOST, {1, 1}, false));
+	CHECK_FALSE(division.OnInstanceList(CellDivision::MAX_UNDIVIDED_INSTANCES, {1, 1}, false));
 	CHECK(division.Count().cells == 1);
-	CHECK(division.OnChanges(CellDivision::UNDIVIDED_MOST + 1, {1, 2}));
-	for (size_t in_hall : {97U, 128U, 129U, 200U, 256U, 257U, 400U, 1000U}) {
+	CHECK(division.OnInstanceChanges(CellDivision::MAX_UNDIVIDED_INSTANCES + 1, {1, 2}));
+	for (size_t largest_hall : {97U, 128U, 129U, 200U, 256U, 257U, 400U, 1000U}) {
 		CellDivision other("own");
-		other.OnList(in_hall, {1, 1}, false);
-		size_t each = in_hall / other.Count().cells;
-		CHECK(each >= CellDivision::CELL_LEAST);
-		CHECK(in_hall <= CellDivision::CELL_MOST * other.Count().cells);
+		other.OnInstanceList(largest_hall, {1, 1}, false);
+		size_t each = largest_hall / other.Count().cells;
+		CHECK(each >= CellDivision::MIN_CELL_INSTANCES);
+		CHECK(largest_hall <= CellDivision::MAX_CELL_INSTANCES * other.Count().cells);
 	}
 }
 
@@ -100,24 +100,24 @@
 		size_t count = *rc::gen::inRange<size_t>(2, 8);
 		std::vector<CellDivision> all;
 		for (size_t i = 0; i < count; i++) all.emplace_back(InstanceName(i));
-		bool growing = *rc::gen::arbitrary<bool>();
-		size_t in_hall = *rc::gen::inRange<size_t>(1, 700);
+		bool bootstrapping = *rc::gen::arbitrary<bool>();
+		size_t largest_hall = *rc::gen::inRange<size_t>(1, 700);
 		uint64_t version = 1;
 		for (int step = *rc::gen::inRange(0, 30); step > 0; step--) {
 			CellDivision &one = all[*rc::gen::inRange<size_t>(0, count)];
-			in_hall += *rc::gen::inRange<size_t>(0, 40);
+			largest_hall += *rc::gen::inRange<size_t>(0, 40);
 			version++;
 			if (*rc::gen::arbitrary<bool>()) {
-				one.OnList(in_hall, {1, version}, growing);
+				one.OnInstanceList(largest_hall, {1, version}, bootstrapping);
 			} else {
-				one.OnTold(all[*rc::gen::inRange<size_t>(0, count)].Count());
+				one.OnPeerCellCount(all[*rc::gen::inRange<size_t>(0, count)].Count());
 			}
 		}
 		// Each has read the list as it is now, and told everybody, twice.
-		for (CellDivision &one : all) one.OnList(in_hall, {1, ++version}, growing);
+		for (CellDivision &one : all) one.OnInstanceList(largest_hall, {1, ++version}, bootstrapping);
 		for (int round = 0; round < 2; round++) {
 			for (CellDivision &one : all) {
-				for (CellDivision &other : all) other.OnTold(one.Count());
+				for (CellDivision &other : all) other.OnPeerCellCount(one.Count());
 			}
 		}
 		for (const CellDivision &one : all) RC_ASSERT(one.Count().cells == all.front().Count().cells);
@@ -128,18 +128,18 @@
 TEST_CASE("Cells - who starts among others keeps to their number while it may stay, and changes it where it may not")
 {
 	CellDivision joining("joining");
-	joining.OnList(110, {1, 50}, false);
+	joining.OnInstanceList(110, {1, 50}, false);
 	CHECK(joining.Count().cells == 4);
-	CHECK(joining.OnTold({8, {1, 20}}));
+	CHECK(joining.OnPeerCellCount({8, {1, 20}}));
 	CHECK(joining.Count() == CellCount{8, {1, 20}});
 	CellDivision shrunk("shrunk");
-	shrunk.OnList(60, {1, 50}, false);
-	shrunk.OnTold({8, {1, 20}});
+	shrunk.OnInstanceList(60, {1, 50}, false);
+	shrunk.OnPeerCellCount({8, {1, 20}});
 	CHECK(shrunk.Count() == CellCount{1, {1, 50}});
 	// Those that were there before follow it.
 	CellDivision before("before");
-	before.OnTold({8, {1, 20}});
-	CHECK(before.OnTold(shrunk.Count()));
+	before.OnPeerCellCount({8, {1, 20}});
+	CHECK(before.OnPeerCellCount(shrunk.Count()));
 	CHECK(before.Count().cells == 1);
 }
 
@@ -150,7 +150,7 @@
 	std::map<uint32_t, TargetDivision> cells;
 	for (size_t i = 0; cells.size() < CELLS; i++) {
 		CellDivision own(InstanceName(i));
-		own.OnTold({CELLS, {1, 1}});
+		own.OnPeerCellCount({CELLS, {1, 1}});
 		bool another = std::none_of(cells.begin(), cells.end(), [&](const auto &cell) { return own.IsOwn(InstanceName(cell.first)); });
 		if (another) cells.emplace(static_cast<uint32_t>(i), TargetDivision(InstanceName(i)));
 	}
--- a/src/tests/claim_test.cpp
+++ b/src/tests/claim_test.cpp
@@ -22,7 +22,7 @@
 {
 	auto attempt = std::make_shared<Attempt>();
 	attempt->store = std::make_unique<ClaimStore>(platform);
-	attempt->store->Make("claim/key", "nonce" + std::to_string(number), 7, [=](ClaimStep step, const ClaimRow &row) {
+	attempt->store->Acquire("claim/key", "nonce" + std::to_string(number), 7, [=](ClaimStep step, const ClaimRow &row) {
 		attempt->end = step;
 		attempt->ended = true;
 		if (step != ClaimStep::Proceed || attempt->dead) return;
@@ -105,7 +105,7 @@
 	platform.RunAll();
 	ClaimStore store(platform);
 	ClaimStep end = ClaimStep::Read;
-	store.Make("claim/key", "nonce2", 8, [&](ClaimStep step, const ClaimRow &) { end = step; });
+	store.Acquire("claim/key", "nonce2", 8, [&](ClaimStep step, const ClaimRow &) { end = step; });
 	platform.RunAll();
 	CHECK(end == ClaimStep::Mismatch);
 	CHECK(rc::check("rows", [](const std::string &text) { RC_ASSERT(ParseClaim(text, "v").version == "v"); }));
--- a/src/tests/configuration_test.cpp
+++ b/src/tests/configuration_test.cpp
@@ -64,17 +64,17 @@
 				if (sequence < this->seen[i]) this->reverted = true;
 				this->seen[i] = sequence;
 			};
-			this->keepers.push_back(std::make_unique<ConfigurationKeeper>(this->platform, 4, PolicyCheck{}, changed));
+			this->keepers.push_back(std::make_unique<ConfigurationManager>(this->platform, 4, PolicyCheck{}, changed));
 		}
 	}
 
-	FakePlatform platform;                                     ///< Platform.
-	pcg32 random;                                              ///< Chance.
-	std::vector<std::unique_ptr<ConfigurationKeeper>> keepers; ///< Instances.
-	std::array<uint64_t, 3> seen{};                            ///< Last sequence of each.
-	bool reverted = false;                                     ///< Some instance went back.
-	std::map<std::string, uint64_t> accepted;                  ///< Changes said to be accepted.
-	std::set<std::string> refused;                             ///< Changes said not to be written.
+	FakePlatform platform;                                      ///< Platform.
+	pcg32 random;                                               ///< Chance.
+	std::vector<std::unique_ptr<ConfigurationManager>> keepers; ///< Instances.
+	std::array<uint64_t, 3> seen{};                             ///< Last sequence of each.
+	bool reverted = false;                                      ///< Some instance went back.
+	std::map<std::string, uint64_t> accepted;                   ///< Changes said to be accepted.
+	std::set<std::string> refused;                              ///< Changes said not to be written.
 };
 
 } // namespace
@@ -87,15 +87,15 @@
 		world.platform.not_sent = 0.1;
 		world.platform.late_effects = 0.15;
 		for (int i = 0; i < 14; i++) {
-			ConfigurationKeeper &keeper = *world.keepers[world.random() % 3];
+			ConfigurationManager &keeper = *world.keepers[world.random() % 3];
 			std::string id = "change" + std::to_string(i / 2); // Every change is asked for twice, maybe at two instances.
 			Change change = MakeChange(id, "s" + std::to_string(i % 3), i / 2, 1000);
 			keeper.Accept(change, [&world, id](const ApplyResult &result) {
-				if (result.end == ApplyEnd::Accepted) {
+				if (result.end == ApplyOutcome::Accepted) {
 					auto [found, added] = world.accepted.emplace(id, result.sequence);
 					RC_ASSERT(added || found->second == result.sequence);
 				}
-				if (result.end == ApplyEnd::Failed) world.refused.insert(id);
+				if (result.end == ApplyOutcome::Failed) world.refused.insert(id);
 			});
 			world.platform.Run(world.random() % 12);
 			if (world.random() % 3 == 0) world.keepers[world.random() % 3]->Poll();
@@ -129,7 +129,7 @@
 	ApplyResult second;
 	world.keepers[1]->Accept(MakeChange("second", "s", 2, 0), [&](const ApplyResult &result) { second = result; });
 	world.platform.RunAll();
-	CHECK(second.end == ApplyEnd::Conflict);
+	CHECK(second.end == ApplyOutcome::Conflict);
 	CHECK(second.other.id == "first");
 	CHECK(second.other.author == "author-first");
 }
@@ -142,19 +142,19 @@
 		world.platform.RunAll();
 	}
 	CHECK(world.platform.rows.contains("object/config/snapshot"));
-	world.keepers[1]->Boot();
+	world.keepers[1]->Bootstrap();
 	world.platform.RunAll();
 	CHECK(world.keepers[1]->State().Sequence() == 10);
 	world.platform.down = true;
-	world.keepers[2]->Boot();
+	world.keepers[2]->Bootstrap();
 	world.platform.RunAll();
 	CHECK(world.keepers[2]->State().Sequence() == 0);
 	CHECK(world.keepers[2]->ConfirmedAt() == TimePoint{});
-	PeerMessage answer = world.keepers[1]->AnswerFetch(0);
+	PeerMessage answer = world.keepers[1]->MakeFetchReply(0);
 	REQUIRE(std::holds_alternative<SnapshotMessage>(answer));
 	world.keepers[2]->OnSnapshot(std::get<SnapshotMessage>(answer).snapshot);
 	CHECK(world.keepers[2]->State().Sequence() == 10);
-	PeerMessage tail = world.keepers[0]->AnswerFetch(7);
+	PeerMessage tail = world.keepers[0]->MakeFetchReply(7);
 	REQUIRE(std::holds_alternative<EntriesMessage>(tail));
 	CHECK(std::get<EntriesMessage>(tail).entries.size() == 3);
 }
--- a/src/tests/crash_watch_test.cpp
+++ b/src/tests/crash_watch_test.cpp
@@ -86,18 +86,19 @@
 		{
 			BreakingTarget target(&loop, how);
 			HttpUpstream upstream(&loop);
-			std::optional<TargetCheck> found;
-			EndWatch watch(upstream, std::chrono::milliseconds(300), std::chrono::seconds(2),
-			               [&](const TargetCheck &check) { found = check; });
+			std::optional<CrashCheck> found;
+			CrashWatch watch(upstream, std::chrono::milliseconds(300), std::chrono::seconds(2),
+			                 [&](const CrashCheck &check) { found = check; });
 			TimePoint now = MonotonicNow();
-			watch.OnBroken({{"engine", 1}, {"127.0.0.1", target.port}, "/report"}, {RequestPrint{}, "r", RunStage::Begun}, now);
+			watch.OnSendInterrupted({{"engine", 1}, {"127.0.0.1", target.port}, "/report"}, {RequestFingerprint{}, "r", RunStage::Started},
+			                        now);
 			for (int turn = 0; turn < 400 && !found; turn++) {
 				uv_run(&loop, UV_RUN_NOWAIT);
 				uv_sleep(1);
 				if (turn % 25 == 24) watch.OnTick(MonotonicNow());
 			}
 			REQUIRE(found);
-			CHECK(found->HasEnded() == ends);
+			CHECK(found->HasCrashed() == ends);
 			CHECK(target.connections == (ends ? 1 : 3));
 			target.Close();
 			upstream.OnTick(MonotonicNow());
--- a/src/tests/dispatcher_test.cpp
+++ b/src/tests/dispatcher_test.cpp
@@ -73,7 +73,7 @@
 	{
 		for (int i = 0; i < 200; i++) {
 			this->now += milliseconds(200);
-			this->End(SendEnd::Complete);
+			this->End(SendOutcome::Complete);
 			this->Take(this->dispatcher.OnTick(this->now));
 		}
 		for (const TrackedCall &call : this->calls) RC_ASSERT(call.over);
@@ -125,18 +125,18 @@
 		if (TrackedCall *call = this->InFlight()) this->dispatcher.OnToken(call->spec.id, this->now);
 	}
 
-	void End(std::optional<SendEnd> wanted = std::nullopt)
+	void End(std::optional<SendOutcome> wanted = std::nullopt)
 	{
 		TrackedCall *call = this->InFlight();
 		if (call == nullptr) return;
-		SendEnd end = wanted.value_or(static_cast<SendEnd>(this->random() % 8));
-		if (end == SendEnd::NotSent) call->sends--;
-		if (end != SendEnd::Complete) call->failed_at.insert(call->holder->value);
+		SendOutcome end = wanted.value_or(static_cast<SendOutcome>(this->random() % 8));
+		if (end == SendOutcome::NotSent) call->sends--;
+		if (end != SendOutcome::Complete) call->failed_at.insert(call->holder->value);
 		call->holder.reset();
-		bool failed = end == SendEnd::Lost || end == SendEnd::Failed;
+		bool failed = end == SendOutcome::Lost || end == SendOutcome::Failed;
 		call->in_doubt = call->in_doubt || failed;
-		bool not_run = end == SendEnd::NotRun || end == SendEnd::TurnedAway;
-		bool again = not_run || end == SendEnd::NotSent || (failed && call->spec.repeatable);
+		bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected;
+		bool again = not_executed || end == SendOutcome::NotSent || (failed && call->spec.repeatable);
 		call->over = !again;
 		this->Take(this->dispatcher.OnSendEnded(call->spec.id, end, this->now));
 	}
@@ -146,8 +146,8 @@
 		if (this->random() % 4 != 0) return;
 		TargetNumber target = this->targets[this->random() % 2];
 		bool leaves = this->random() % 2 == 0;
-		if (leaves) this->dispatcher.Targets().MarkLeaving(target);
-		if (!leaves) this->dispatcher.Targets().ClearLeaving(target);
+		if (leaves) this->dispatcher.Targets().MarkDraining(target);
+		if (!leaves) this->dispatcher.Targets().ClearDraining(target);
 	}
 
 	/** A target says something of itself: a limit, the end of one, a pause. */
@@ -155,14 +155,14 @@
 	{
 		if (this->random() % 4 != 0) return;
 		uint32_t target = this->random() % 3;
-		TargetSigns signs;
-		if (this->random() % 3 == 0) signs.pause = milliseconds(this->random() % 400);
-		if (this->random() % 2 == 0) signs.limit = SignState::Said;
-		signs.limit_per_s = this->random() % 5;
+		TargetSignals signals;
+		if (this->random() % 3 == 0) signals.pause = milliseconds(this->random() % 400);
+		if (this->random() % 2 == 0) signals.limit = SignalState::Present;
+		signals.limit_per_s = this->random() % 5;
 		this->dispatcher.Targets().SetLimitShare(this->targets[target], {this->random() % 4, milliseconds(500)});
-		this->dispatcher.Targets().OnSigns(this->targets[target], signs, this->now, this->now);
-		this->paused_until[target] = std::max(this->paused_until[target], this->now + signs.pause);
-		this->Take(this->dispatcher.OnPlacesChanged(this->now));
+		this->dispatcher.Targets().OnSignals(this->targets[target], signals, this->now, this->now);
+		this->paused_until[target] = std::max(this->paused_until[target], this->now + signals.pause);
+		this->Take(this->dispatcher.OnPlacementChanged(this->now));
 	}
 
 	void Take(const Decisions &decisions)
@@ -173,13 +173,13 @@
 			RC_ASSERT(!call.over);
 			RC_ASSERT(!call.holder.has_value());
 			RC_ASSERT(call.spec.repeatable || !call.in_doubt);
-			RC_ASSERT(!this->dispatcher.Targets().Get(send.target).bounds.leaving);
+			RC_ASSERT(!this->dispatcher.Targets().Get(send.target).restrictions.draining);
 			RC_ASSERT(!call.failed_at.contains(send.target.value) || this->NoOtherThan(call));
 			RC_ASSERT(this->now >= this->paused_until[send.target.value]);
 			RC_ASSERT(++call.sends <= 3);
 			call.holder = send.target;
 		}
-		for (const GiveUpAction &give_up : decisions.give_ups) {
+		for (const RejectAction &give_up : decisions.rejections) {
 			TrackedCall &call = this->calls[give_up.call.value];
 			this->trace += "g" + std::to_string(give_up.call.value) + " ";
 			RC_ASSERT(!call.over);
@@ -194,7 +194,7 @@
 	{
 		return std::all_of(this->targets.begin(), this->targets.end(), [&](TargetNumber target) {
 			const TargetState &state = this->dispatcher.Targets().Get(target);
-			return call.failed_at.contains(target.value) || !this->dispatcher.Targets().MayGet(state, call.spec, this->now);
+			return call.failed_at.contains(target.value) || !this->dispatcher.Targets().IsEligible(state, call.spec, this->now);
 		});
 	}
 
@@ -263,7 +263,7 @@
 			todo.pop_back();
 			for (const SendAction &send : next.sends) {
 				sends++;
-				todo.push_back(dispatcher.OnSendEnded(send.call, SendEnd::Lost, now));
+				todo.push_back(dispatcher.OnSendEnded(send.call, SendOutcome::Lost, now));
 			}
 		}
 	}
@@ -384,7 +384,7 @@
 	std::vector<TargetNumber> targets;
 	for (const char *hall : {"hall-a", "hall-a", "hall-b"}) {
 		targets.push_back(dispatcher.Targets().Configure("t" + std::to_string(targets.size()), hall, {ModelNumber{0}}));
-		dispatcher.Targets().SetUnreported(targets.back(), 40000);
+		dispatcher.Targets().SetServiceCapacity(targets.back(), 40000);
 	}
 	CallSpec run = MakeCall(1, 1, now);
 	run.halls = {{"hall-a", 1}, {"hall-b", 1}};
@@ -396,10 +396,10 @@
 	CallSpec other = MakeCall(2, 1, now);
 	other.prompt_tokens = 8000;
 	dispatcher.Targets().OnSent(neighbour, other, now);
-	dispatcher.Targets().MarkLeaving(holder);
-	CHECK(dispatcher.ChooseMove(run.id, {}, now) == neighbour);
-	CHECK(dispatcher.ChooseMove(run.id, {neighbour}, now) == targets[2]);
-	CHECK(!dispatcher.ChooseMove(run.id, {neighbour, targets[2]}, now));
+	dispatcher.Targets().MarkDraining(holder);
+	CHECK(dispatcher.ChooseMigrationTarget(run.id, {}, now) == neighbour);
+	CHECK(dispatcher.ChooseMigrationTarget(run.id, {neighbour}, now) == targets[2]);
+	CHECK(!dispatcher.ChooseMigrationTarget(run.id, {neighbour, targets[2]}, now));
 }
 
 TEST_CASE("Dispatcher - runs that leave an engine are copied one after another, those that hold less first")
@@ -407,7 +407,7 @@
 	Dispatcher dispatcher({}, MakeRouter("headroom", 1));
 	TimePoint now{std::chrono::seconds(10)};
 	TargetNumber engine = dispatcher.Targets().Configure("engine", "hall", {ModelNumber{0}});
-	dispatcher.Targets().SetUnreported(engine, 40000);
+	dispatcher.Targets().SetServiceCapacity(engine, 40000);
 	EnginePool pool;
 	pool.bytes_per_token = 20000;
 	pool.link_mbps = 1600; // 10,000 tokens a second.
@@ -424,12 +424,12 @@
 	// A run of another instance counts as well.
 	dispatcher.Targets().OnSent(engine, run(1ULL << 62, 2000, 200), now);
 	Duration least = milliseconds(300);
-	CHECK(dispatcher.CopyWait(CallId{1}, pool, least) == Duration(0));
-	CHECK(dispatcher.CopyWait(CallId{2}, pool, least) == milliseconds(300));
+	CHECK(dispatcher.MigrationCopyDelay(CallId{1}, pool, least) == Duration(0));
+	CHECK(dispatcher.MigrationCopyDelay(CallId{2}, pool, least) == milliseconds(300));
 	// One that ends before its turn is not waited for; with an unknown link nothing is.
-	CHECK(dispatcher.CopyWait(CallId{2}, pool, Duration(0)) == milliseconds(350));
-	CHECK(dispatcher.CopyWait(CallId{2}, EnginePool{}, least) == Duration(0));
-	CHECK(dispatcher.CopyWait(CallId{9}, pool, least) == Duration(0));
+	CHECK(dispatcher.MigrationCopyDelay(CallId{2}, pool, Duration(0)) == milliseconds(350));
+	CHECK(dispatcher.MigrationCopyDelay(CallId{2}, EnginePool{}, least) == Duration(0));
+	CHECK(dispatcher.MigrationCopyDelay(CallId{9}, pool, least) == Duration(0));
 }
 
 TEST_CASE("Dispatcher - instances that share the retries beyond the usual ones make no more together than one alone may")
@@ -445,14 +445,14 @@
 			Dispatcher dispatcher(limits, MakeRouter("headroom", 1));
 			TimePoint now{std::chrono::seconds(10)};
 			TargetNumber target = dispatcher.Targets().Configure("service", "hall", {ModelNumber{0}}, false);
-			dispatcher.Targets().SetUnreported(target, 1000);
-			dispatcher.ShareRetries(SLACK, instances, "instance-" + std::to_string(i));
+			dispatcher.Targets().SetServiceCapacity(target, 1000);
+			dispatcher.SetRetryShare(SLACK, instances, "instance-" + std::to_string(i));
 			CallSpec call = MakeCall(1, 1, now);
 			call.generated = false;
 			call.deadline = now + std::chrono::hours(10);
 			REQUIRE(dispatcher.Submit(call, now).sends.size() == 1);
 			while (dispatcher.Holder(call.id)) {
-				dispatcher.OnSendEnded(call.id, SendEnd::Failed, now);
+				dispatcher.OnSendEnded(call.id, SendOutcome::Failed, now);
 				now += std::chrono::seconds(3);
 				dispatcher.OnTick(now);
 			}
@@ -466,7 +466,7 @@
 TEST_CASE("Dispatcher - without pressing a generation waits for room at an engine, and a plain call still goes to a full service")
 {
 	for (bool generated : {true, false}) {
-		Dispatcher dispatcher({}, MakeRouter("headroom", 1, {.use_press = false}));
+		Dispatcher dispatcher({}, MakeRouter("headroom", 1, {.use_overcommit = false}));
 		TimePoint now{std::chrono::seconds(10)};
 		TargetNumber target = dispatcher.Targets().Configure("t", "hall", {ModelNumber{0}}, generated);
 		LoadReport report{.sequence = 1, .capacity_tokens = generated ? 4000U : 1U};
@@ -477,8 +477,8 @@
 		REQUIRE(dispatcher.Submit(first, now).sends.size() == 1);
 		CallSpec second = first;
 		second.id = CallId{2};
-		second.press_from = now;
+		second.overcommit_from = now;
 		CHECK(dispatcher.Submit(second, now).sends.size() == (generated ? 0 : 1));
-		if (generated) CHECK(dispatcher.OnSendEnded(first.id, SendEnd::Complete, now).sends.size() == 1);
+		if (generated) CHECK(dispatcher.OnSendEnded(first.id, SendOutcome::Complete, now).sends.size() == 1);
 	}
 }
--- a/src/tests/explain_log_test.cpp
+++ b/src/tests/explain_log_test.cpp
@@ -19,9 +19,9 @@
 }
 
 /** @return The story of \a request in \a log. */
-RequestStory StoryOf(const std::string &request, const std::string &log)
+RequestTrace StoryOf(const std::string &request, const std::string &log)
 {
-	RequestStory story(request);
+	RequestTrace story(request);
 	std::istringstream in(log);
 	story.Add(in);
 	return story;
@@ -39,7 +39,7 @@
 	                  Line(2002, "g1", "move", R"("request":"r1","step":"copy","result":"asked","from":"e1","to":"e2")") +
 	                  Line(3700, "g1", "run-lost", R"("request":"r1","target":"e1","events":"56","cause":"closed")") +
 	                  Line(3701, "g1", "finished", R"("request":"r1","outcome":"run-lost","status":"0","ms":"2701")");
-	RequestStory story = StoryOf("r1", log);
+	RequestTrace story = StoryOf("r1", log);
 	CHECK(story.Cause() == "broken off after 2701 ms: e1 was lost (closed) 1.7 s after it was known to leave (notice), "
 	                       "and its move did not end in time (copy: asked)");
 	CHECK(story.Text().find("e7") == std::string::npos);
@@ -70,7 +70,7 @@
 TEST_CASE("Explain - a log may hold any bytes")
 {
 	CHECK(rc::check("bytes", [](const std::string &bytes) {
-		RequestStory story = StoryOf("r", bytes + "\n{\"event\":" + bytes);
+		RequestTrace story = StoryOf("r", bytes + "\n{\"event\":" + bytes);
 		(void)story.Text();
 	}));
 }
--- a/src/tests/feature_switches_test.cpp
+++ b/src/tests/feature_switches_test.cpp
@@ -11,10 +11,10 @@
 TEST_CASE("Switches - names are unique, and several can be switched at once")
 {
 	std::set<std::string> names;
-	for (const RuleSwitch &rule : RuleSwitches()) CHECK(names.insert(rule.name).second);
+	for (const FeatureSwitch &rule : FeatureSwitches()) CHECK(names.insert(rule.name).second);
 	GatewayLimits limits;
-	REQUIRE(SwitchRules("moves,cached-prefix", limits).has_value());
-	CHECK_FALSE(limits.use_moves);
+	REQUIRE(ApplySwitches("moves,cached-prefix", limits).has_value());
+	CHECK_FALSE(limits.use_migration);
 	CHECK_FALSE(limits.router.use_prefix);
 	CHECK(limits.router.use_interval);
 }
@@ -22,9 +22,9 @@
 TEST_CASE("Switches - nothing to switch changes nothing, and a wrong name is told")
 {
 	GatewayLimits limits;
-	REQUIRE(SwitchRules("", limits).has_value());
-	CHECK(limits.use_moves);
-	Result<void> wrong = SwitchRules("moves,no-such", limits);
+	REQUIRE(ApplySwitches("", limits).has_value());
+	CHECK(limits.use_migration);
+	Result<void> wrong = ApplySwitches("moves,no-such", limits);
 	REQUIRE_FALSE(wrong.has_value());
 	CHECK(FormatError(wrong.error()).find("'no-such' is no mechanism") != std::string::npos);
 }
--- a/src/tests/gateway_limits_test.cpp
+++ b/src/tests/gateway_limits_test.cpp
@@ -82,10 +82,10 @@
 {
 	for (int contact_s : {2, 3, 4, 6}) {
 		NodeSettings settings;
-		settings.bounds.contact = std::chrono::seconds(contact_s);
-		settings.bounds.drain = settings.bounds.in_force = std::chrono::seconds(contact_s) * 3 / 4;
+		settings.platform_bounds.recovery = std::chrono::seconds(contact_s);
+		settings.platform_bounds.drain = settings.platform_bounds.config_apply = std::chrono::seconds(contact_s) * 3 / 4;
 		WatchLimits limits = GatewayLimitsFor(settings).watch;
-		CHECK(LongestReturn(limits, true) <= settings.bounds.contact * 4 / 5);
-		CHECK(LongestReturn(limits, false) <= settings.bounds.contact * 4 / 5);
+		CHECK(LongestReturn(limits, true) <= settings.platform_bounds.recovery * 4 / 5);
+		CHECK(LongestReturn(limits, false) <= settings.platform_bounds.recovery * 4 / 5);
 	}
 }
--- a/src/tests/hall_load_test.cpp
+++ b/src/tests/hall_load_test.cpp
@@ -25,7 +25,7 @@
 		for (const char *name : ENGINES) {
 			const char *stands_in = HALLS[name[0] - 'a'];
 			TargetNumber number = this->dispatcher.Targets().Configure(name, stands_in, {ModelNumber{0}});
-			this->dispatcher.Targets().SetUnreported(number, MEMORY);
+			this->dispatcher.Targets().SetServiceCapacity(number, MEMORY);
 			if (stands_in == this->hall) this->Report(number, 0, now);
 		}
 	}
@@ -51,7 +51,7 @@
 	/** Hear what another hall tells, as an instance does. */
 	void Hear(const HallLoadMessage &message, TimePoint now)
 	{
-		for (const ReportNews &news : this->load.OnMessage(message, now)) {
+		for (const ReportUpdate &news : this->load.OnMessage(message, now)) {
 			LoadReport report = news.report;
 			report.sequence = ++this->reports;
 			this->dispatcher.OnReport(*this->dispatcher.Targets().Find(news.target), report, now);
@@ -93,8 +93,8 @@
 	std::string free_engine = other.dispatcher.Targets().Get(*other.dispatcher.Holder(CallId{2})).name;
 	HallInstance third("hall-c", now);
 	for (uint64_t id = 1; id <= 2; id++) REQUIRE(third.Place(id, 18000, now).front() == 'c');
-	home.Hear(other.load.Tell(now), now);
-	home.Hear(third.load.Tell(now), now);
+	home.Hear(other.load.BuildMessage(now), now);
+	home.Hear(third.load.BuildMessage(now), now);
 	CHECK(home.Place(3, 6000, now) == free_engine);
 	CHECK(home.Place(4, 6000, now) == free_engine);
 	CHECK(home.Place(5, 6000, now).empty());
@@ -110,16 +110,16 @@
 	REQUIRE(!at.empty());
 	REQUIRE(at.front() != 'b');
 	HallInstance target_hall(at.front() == 'a' ? "hall-a" : "hall-c", now);
-	target_hall.Hear(other.load.Tell(now), now);
+	target_hall.Hear(other.load.BuildMessage(now), now);
 	TargetTable &targets = target_hall.dispatcher.Targets();
 	const TargetState &engine = targets.Get(*targets.Find(at));
-	CHECK(targets.HeldAt(engine, now).tokens == doctest::Approx(9000));
+	CHECK(targets.TotalLoadAt(engine, now).tokens == doctest::Approx(9000));
 	// Once the report tells it, it is not counted twice.
 	target_hall.Report(*targets.Find(at), 9000, now);
-	CHECK(targets.HeldAt(engine, now).tokens == doctest::Approx(9000));
+	CHECK(targets.TotalLoadAt(engine, now).tokens == doctest::Approx(9000));
 	target_hall.Report(*targets.Find(at), 0, now);
-	CHECK(targets.HeldAt(engine, now + seconds(2)).tokens == doctest::Approx(0));
-	CHECK(targets.HeldAt(engine, now).calls == 1);
+	CHECK(targets.TotalLoadAt(engine, now + seconds(2)).tokens == doctest::Approx(0));
+	CHECK(targets.TotalLoadAt(engine, now).calls == 1);
 }
 
 TEST_CASE("Hall load - messages keep their content, and any bytes end with a message or an error")
@@ -129,13 +129,13 @@
 	REQUIRE(read);
 	const auto &back = std::get<HallLoadMessage>(read.value());
 	CHECK(back.hall == "hall-a");
-	CHECK(back.relayed);
-	REQUIRE(back.at_home.size() == 2);
-	CHECK(back.at_home[0].target == "a1");
-	CHECK(back.at_home[0].held_tokens == 12000);
-	CHECK(back.at_home[0].calls == 4);
-	CHECK(back.at_home[0].wait_ms == 150);
-	CHECK(back.abroad.at(0).target == "b1");
+	CHECK(back.forwarded);
+	REQUIRE(back.local_targets.size() == 2);
+	CHECK(back.local_targets[0].target == "a1");
+	CHECK(back.local_targets[0].held_tokens == 12000);
+	CHECK(back.local_targets[0].calls == 4);
+	CHECK(back.local_targets[0].wait_ms == 150);
+	CHECK(back.remote_targets.at(0).target == "b1");
 }
 
 TEST_CASE("Hall load - once all is quiet every hall knows what every engine holds, whatever messages were lost or came twice")
@@ -149,7 +149,7 @@
 		std::vector<std::pair<size_t, CallId>> running;
 		auto tell = [&](double kept) {
 			for (auto &from : instances) {
-				HallLoadMessage message = from->load.Tell(now);
+				HallLoadMessage message = from->load.BuildMessage(now);
 				for (auto &to : instances) {
 					for (int times = random() % 5 == 0 ? 2 : 1; times > 0; times--) {
 						if (random() % 100 < kept * 100) to->Hear(message, now);
@@ -165,7 +165,7 @@
 				if (!instances[who]->Place(id, 200 + random() % 3000, now).empty()) running.emplace_back(who, CallId{id});
 			} else if (!running.empty()) {
 				auto [holder, id] = running[random() % running.size()];
-				instances[holder]->dispatcher.OnSendEnded(id, SendEnd::Complete, now);
+				instances[holder]->dispatcher.OnSendEnded(id, SendOutcome::Complete, now);
 				std::erase_if(running, [&, gone = id, at = holder](const auto &each) { return each.first == at && each.second == gone; });
 			}
 			tell(0.6);
@@ -184,7 +184,7 @@
 			}
 			for (auto &instance : instances) {
 				const TargetTable &targets = instance->dispatcher.Targets();
-				RC_ASSERT(targets.HeldAt(targets.Get(*targets.Find(name)), now).tokens == held);
+				RC_ASSERT(targets.TotalLoadAt(targets.Get(*targets.Find(name)), now).tokens == held);
 			}
 		}
 	});
@@ -201,9 +201,9 @@
 	copy.id = CallId{77};
 	copy.prompt_tokens = 3000;
 	copy.max_tokens = 1000;
-	targets.OnForeignSent(engine, copy, now, 400);
-	CHECK(targets.HeldAt(targets.Get(engine), now).tokens == doctest::Approx(3400));
-	CHECK(targets.ReadingWait(targets.Get(engine), now) == Duration(0));
-	targets.OnForeignEnded(engine, copy.id, now);
-	CHECK(targets.HeldAt(targets.Get(engine), now).tokens == doctest::Approx(0));
+	targets.OnPeerCallSent(engine, copy, now, 400);
+	CHECK(targets.TotalLoadAt(targets.Get(engine), now).tokens == doctest::Approx(3400));
+	CHECK(targets.PrefillWait(targets.Get(engine), now) == Duration(0));
+	targets.OnPeerCallEnded(engine, copy.id, now);
+	CHECK(targets.TotalLoadAt(targets.Get(engine), now).tokens == doctest::Approx(0));
 }
--- a/src/tests/limit_leases_test.cpp
+++ b/src/tests/limit_leases_test.cpp
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 /** @return The world after the target has named its limit and 21 s have passed, with what it used of it in the last 20 of them. */
-static double UsedOf(LimitLayout layout, uint32_t seed, size_t *most)
+static double UsedOf(LimitLayout layout, uint32_t seed, size_t *max_requests)
 {
 	LimitWorld world(layout, seed);
 	world.Pass(seconds(5));
@@ -20,7 +20,7 @@
 	world.Pass(seconds(1));
 	TimePoint from = world.now;
 	world.Pass(seconds(20));
-	*most = world.Most(from);
+	*max_requests = world.Most(from);
 	return static_cast<double>(world.Arrived(from)) / (20 * layout.per_second);
 }
 
@@ -38,14 +38,14 @@
 				for (const Way &way : WAYS) {
 					size_t halls = instances > 100 ? 5 : 3;
 					LimitLayout layout{halls, instances, per_second, way.owners, way.lease, 3, callers};
-					size_t most = 0;
-					double used = UsedOf(layout, 1, &most);
+					size_t max_requests = 0;
+					double used = UsedOf(layout, 1, &max_requests);
 					printf("%3zu instances, limit %5.1f, callers %s, %-13s used %.2f, most %zu of %.0f\n", instances, per_second,
 					       callers == CallersAt::Everywhere ? "everywhere "
 					       : callers == CallersAt::OneHall  ? "in one hall"
 					                                        : "at one     ",
-					       way.name, used, most, 6 * per_second + 5);
-					CHECK(static_cast<double>(most) <= 6 * per_second + 5);
+					       way.name, used, max_requests, 6 * per_second + 5);
+					CHECK(static_cast<double>(max_requests) <= 6 * per_second + 5);
 					if (way.lease && callers == CallersAt::OneInstance) CHECK(used >= 0.7);
 				}
 			}
@@ -86,7 +86,7 @@
 			}
 		}
 		// Not only the bound that operators allow: what is lent is never more than the limit itself.
-		RC_ASSERT(static_cast<double>(world.Most(from)) <= std::max(1.0, Seconds(LIMIT_SPAN) * layout.per_second));
+		RC_ASSERT(static_cast<double>(world.Most(from)) <= std::max(1.0, Seconds(RATE_LIMIT_WINDOW) * layout.per_second));
 	});
 	CHECK(good);
 }
--- a/src/tests/limit_world.cpp
+++ b/src/tests/limit_world.cpp
@@ -50,23 +50,23 @@
 	return FromSeconds(-std::log(uniform) / per_second);
 }
 
-TargetSigns LimitWorld::Signs() const
+TargetSignals LimitWorld::Signs() const
 {
-	TargetSigns signs;
-	signs.limit = this->named ? SignState::Said : SignState::Absent;
-	signs.limit_per_s = this->named.value_or(0);
-	return signs;
+	TargetSignals signals;
+	signals.limit = this->named ? SignalState::Present : SignalState::Absent;
+	signals.limit_per_s = this->named.value_or(0);
+	return signals;
 }
 
 void LimitWorld::Tell(size_t from, size_t to, std::function<void(Instance &)> what)
 {
 	this->messages++;
 	if ((from < this->cut_at) != (to < this->cut_at)) return;
-	uint64_t life = this->instances[to].life;
-	this->After(milliseconds(1 + this->random() % 4), [this, to, life, what = std::move(what)] {
+	uint64_t incarnation = this->instances[to].incarnation;
+	this->After(milliseconds(1 + this->random() % 4), [this, to, incarnation, what = std::move(what)] {
 		Instance &receiver = this->instances[to];
 		if (receiver.frozen) return;
-		if (receiver.life == life) what(receiver);
+		if (receiver.incarnation == incarnation) what(receiver);
 	});
 }
 
@@ -75,7 +75,7 @@
 	Instance &instance = this->instances[number];
 	RateShare share = ShareRate("target", instance.limit.Bound(), this->owners, instance.name);
 	// One that has just started does not know what its former life has lent.
-	if (this->layout.lease && this->now - instance.started < LEASE_TERM + share.window) share.most = 0;
+	if (this->layout.lease && this->now - instance.started < LEASE_TERM + share.window) share.max_requests = 0;
 	instance.limit.SetShare(share);
 }
 
@@ -89,7 +89,7 @@
 		instance.calls = 0;
 		instance.counted = this->now;
 	}
-	if (!instance.limit.IsNamed()) return;
+	if (!instance.limit.IsActive()) return;
 	this->Share(number);
 	bool in_hall = number < this->hall.size();
 	bool just_started = this->now - instance.started < LEASE_TERM + instance.limit.Share().window;
@@ -97,7 +97,7 @@
 	std::vector<std::string> others = this->owners;
 	std::erase(others, instance.name);
 	uint32_t demand = instance.calls + instance.calls_before;
-	for (const LeaseAsk &ask : instance.limit.Ask(others, demand, this->now)) {
+	for (const LeaseRequest &ask : instance.limit.BuildRequests(others, demand, this->now)) {
 		size_t owner = static_cast<size_t>(std::stoul(ask.owner.substr(9)));
 		this->Tell(number, owner, [this, number, owner, ask, name = instance.name](Instance &lender) {
 			uint32_t granted = lender.limit.Lend(name, ask.wanted, lender.calls + lender.calls_before, this->now);
@@ -115,15 +115,15 @@
 	if (!instance.limit.MaySend(this->now)) return;
 	instance.limit.OnSent(this->now);
 	TimePoint asked = this->now;
-	this->After(milliseconds(this->random() % 150), [this, number, asked, life = instance.life] {
+	this->After(milliseconds(this->random() % 150), [this, number, asked, incarnation = instance.incarnation] {
 		this->arrivals.push_back(this->now);
-		this->After(ANSWER, [this, number, asked, life, signs = this->Signs()] {
+		this->After(ANSWER, [this, number, asked, incarnation, signals = this->Signs()] {
 			Instance &answered = this->instances[number];
-			if (answered.life != life) return;
-			if (!answered.limit.OnAnswer(signs, asked, this->now)) return;
+			if (answered.incarnation != incarnation) return;
+			if (!answered.limit.OnAnswer(signals, asked, this->now)) return;
 			for (size_t other = 0; other < this->instances.size(); other++) {
 				if (other == number) continue;
-				this->Tell(number, other, [this, signs, asked](Instance &peer) { peer.limit.OnAnswer(signs, asked, this->now); });
+				this->Tell(number, other, [this, signals, asked](Instance &peer) { peer.limit.OnAnswer(signals, asked, this->now); });
 			}
 			this->messages -= this->instances.size() - 1;
 		});
@@ -149,13 +149,13 @@
 void LimitWorld::Restart(size_t number)
 {
 	Instance &instance = this->instances[number];
-	instance.limit = TargetLimit();
+	instance.limit = TargetRateLimit();
 	// It hears of the limit from the first one that it links to.
 	if (this->named) instance.limit.OnAnswer(this->Signs(), this->now, this->now);
 	instance.started = this->now;
 	instance.calls = instance.calls_before = 0;
 	instance.frozen = false;
-	instance.life++;
+	instance.incarnation++;
 }
 
 size_t LimitWorld::Most(TimePoint since) const
@@ -165,12 +165,12 @@
 		if (arrival >= since) counted.push_back(arrival);
 	}
 	std::sort(counted.begin(), counted.end());
-	size_t most = 0;
+	size_t max_requests = 0;
 	for (size_t first = 0, last = 0; last < counted.size(); last++) {
-		while (counted[last] - counted[first] >= LIMIT_SPAN) first++;
-		most = std::max(most, last - first + 1);
+		while (counted[last] - counted[first] >= RATE_LIMIT_WINDOW) first++;
+		max_requests = std::max(max_requests, last - first + 1);
 	}
-	return most;
+	return max_requests;
 }
 
 size_t LimitWorld::Arrived(TimePoint since) const
--- a/src/tests/limit_world.h
+++ b/src/tests/limit_world.h
@@ -71,14 +71,14 @@
 	/** One instance. */
 	struct Instance {
 		std::string name;          ///< Name.
-		TargetLimit limit;         ///< What it knows of the target's limit.
+		TargetRateLimit limit;     ///< What it knows of the target's limit.
 		TimePoint started;         ///< Its start.
 		TimePoint next_call;       ///< When the next call comes.
 		uint32_t calls = 0;        ///< Calls of the present half window.
 		uint32_t calls_before = 0; ///< Those of the one before.
 		TimePoint counted;         ///< When the present one began.
 		bool frozen = false;       ///< It stands still.
-		uint64_t life = 0;         ///< Which start.
+		uint64_t incarnation = 0;  ///< Which start.
 	};
 
 	void After(Duration time, std::function<void()> what) { this->events.emplace(this->now + time, std::move(what)); }
@@ -88,7 +88,7 @@
 	void Share(size_t number);
 	double RateAt(size_t number) const;
 	Duration Gap(double per_second);
-	TargetSigns Signs() const;
+	TargetSignals Signs() const;
 
 	LimitLayout layout;                                     ///< Layout.
 	pcg32 random;                                           ///< Chance.
--- a/src/tests/manual_store.h
+++ b/src/tests/manual_store.h
@@ -11,7 +11,7 @@
 namespace cottonspool {
 
 /** A store whose answers the test gives by hand. */
-class HandStore : public TableStore {
+class ManualStore : public TableStore {
 public:
 	/** One call that waits for its answer. */
 	struct Waiting {
@@ -82,10 +82,10 @@
 	return {page, StoreFailure::NoAnswer, ""};
 }
 
-/** @return \a answer as the life \a era of the store gives it. */
-inline RowsAnswer OfEra(uint64_t era, RowsAnswer answer)
+/** @return \a answer as the life \a epoch of the store gives it. */
+inline RowsAnswer WithEpoch(uint64_t epoch, RowsAnswer answer)
 {
-	answer.era = era;
+	answer.epoch = epoch;
 	return answer;
 }
 
--- a/src/tests/membership_test.cpp
+++ b/src/tests/membership_test.cpp
@@ -18,7 +18,7 @@
 		TimePoint now(std::chrono::seconds(5));
 		for (const auto &[incarnation, counter] : news) {
 			MemberInfo info{"other", "hall", "b", incarnation % 4U, counter};
-			members.OnHeard(info, now);
+			members.OnMemberInfo(info, now);
 			newest = std::max(newest, {info.incarnation, info.counter});
 		}
 		for (const MemberInfo &member : members.Live(now)) {
@@ -39,7 +39,7 @@
 		all.emplace_back(MemberInfo{name, "hall" + std::to_string(i % 9), name}, std::chrono::seconds(4));
 	}
 	// Every instance begins with one seed of its own hall, the first of each hall with one of another.
-	for (size_t i = 0; i < count; i++) all[i].OnHeard(all[i < 9 ? i / 2 : i / 18 * 9 + i % 9].self, now);
+	for (size_t i = 0; i < count; i++) all[i].OnMemberInfo(all[i < 9 ? i / 2 : i / 18 * 9 + i % 9].self, now);
 	size_t most_links = 0;
 	size_t dead = SIZE_MAX;
 	auto round = [&] {
@@ -47,13 +47,13 @@
 		for (size_t i = 0; i < count; i++) {
 			if (i == dead) continue;
 			all[i].self.counter++;
-			std::vector<MemberInfo> news = all[i].NextNews(6);
-			std::vector<MemberInfo> links = all[i].LinkTargets(now);
-			all[i].SetPace(period, links.size(), 6);
+			std::vector<MemberInfo> news = all[i].NextGossip(6);
+			std::vector<MemberInfo> links = all[i].GossipPeers(now);
+			all[i].SetGossipPace(period, links.size(), 6);
 			most_links = std::max(most_links, links.size());
 			for (const MemberInfo &link : links) {
 				Membership &peer = all[std::stoul(link.name.substr(8))];
-				for (const MemberInfo &member : news) peer.OnHeard(member, now);
+				for (const MemberInfo &member : news) peer.OnMemberInfo(member, now);
 			}
 		}
 	};
@@ -88,10 +88,10 @@
 {
 	Membership members({"b", "hall", "a"}, milliseconds(1000));
 	TimePoint now(std::chrono::seconds(5));
-	members.OnHeard({"a", "hall", "x", 1, 1}, now);
-	members.OnHeard({"c", "hall", "y", 1, 1}, now);
+	members.OnMemberInfo({"a", "hall", "x", 1, 1}, now);
+	members.OnMemberInfo({"c", "hall", "y", 1, 1}, now);
 	CHECK((members.Rank(now) == std::pair<uint32_t, uint32_t>{1, 3}));
-	members.OnHeard({"a", "hall", "x", 1, 2, 0, true}, now);
+	members.OnMemberInfo({"a", "hall", "x", 1, 2, 0, true}, now);
 	CHECK((members.Rank(now) == std::pair<uint32_t, uint32_t>{0, 2}));
 	CHECK((members.Rank(now + milliseconds(1500)) == std::pair<uint32_t, uint32_t>{0, 1}));
 }
@@ -104,7 +104,7 @@
 	const auto &back = std::get<HeartbeatMessage>(decoded.value());
 	CHECK(back.members.at(0).sequence == 9);
 	CHECK(back.members.at(0).stopping);
-	CHECK(back.leaving == heartbeat.leaving);
+	CHECK(back.draining == heartbeat.draining);
 	CHECK(back.confirmed_age == Duration(milliseconds(12)));
 	CHECK(back.echoes == heartbeat.echoes);
 	auto entries = DecodePeerMessage(EncodePeerMessage(EntriesMessage{{"x", "y"}}));
--- a/src/tests/net_test.cpp
+++ b/src/tests/net_test.cpp
@@ -198,7 +198,7 @@
 	bench.Run(20);
 	CHECK(probe.end == UpstreamEnd::Complete);
 	CHECK(probe.body == "ours");
-	CHECK(upstream.Counters().strays == 1);
+	CHECK(upstream.Counters().stray_answers == 1);
 	CallProbe next;
 	upstream.Start(next.Make(port, "c"));
 	bench.Run(20);
@@ -238,7 +238,7 @@
 	bench.Run(30);
 	CHECK(probe.ended == 1);
 	CHECK(probe.end == UpstreamEnd::Refused);
-	CHECK(IsUnsent(probe.end));
+	CHECK(IsCertainlyUnsent(probe.end));
 	upstream.Shutdown();
 }
 
@@ -252,7 +252,7 @@
 		{
 			HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &exchange) {
 				taken = exchange;
-				exchange->on_gone = [&] { gone = true; };
+				exchange->on_disconnect = [&] { gone = true; };
 			});
 			uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 			PlainSocket caller(PlainSocket::Connect(port));
--- a/src/tests/overload_test.cpp
+++ b/src/tests/overload_test.cpp
@@ -75,7 +75,7 @@
 	static HeadroomRules Rules()
 	{
 		HeadroomRules rules;
-		rules.use_press = false;
+		rules.use_overcommit = false;
 		return rules;
 	}
 
@@ -120,14 +120,14 @@
 			CallId call = this->runs.begin()->second;
 			this->runs.erase(this->runs.begin());
 			this->outcome.served_late += this->callers.at(call.value).again ? 1 : 0;
-			this->Take(this->dispatcher.OnSendEnded(call, SendEnd::Complete, this->now));
+			this->Take(this->dispatcher.OnSendEnded(call, SendOutcome::Complete, this->now));
 		}
 	}
 
 	void Take(const Decisions &decisions)
 	{
 		for (const SendAction &send : decisions.sends) this->runs.emplace(this->now + milliseconds(2500), send.call);
-		for (const GiveUpAction &action : decisions.give_ups) {
+		for (const RejectAction &action : decisions.rejections) {
 			const Caller &caller = this->callers.at(action.call.value);
 			this->outcome.longest_held = std::max<Duration>(this->outcome.longest_held, this->now - caller.spec.arrived);
 			if (caller.again) {
@@ -170,16 +170,16 @@
 
 TEST_CASE("Refusals - a caller is told four times the age of the load, spread by a quarter, and the drain once the load is over")
 {
-	RefusalSpan span;
+	OverloadTracker span;
 	TimePoint start = TimePoint{} + seconds(3600);
 	TimePoint now = start;
-	for (; now < start + seconds(2); now += milliseconds(500)) span.OnRefused(now);
+	for (; now < start + seconds(2); now += milliseconds(500)) span.OnRejected(now);
 	Duration least = span.RetryAfter(milliseconds(300), 0, now);
 	Duration most = span.RetryAfter(milliseconds(300), UINT64_MAX, now);
 	CHECK(Seconds(least) == doctest::Approx(6));
 	CHECK(Seconds(most) == doctest::Approx(10));
 	now += seconds(2);
 	CHECK(Seconds(span.RetryAfter(milliseconds(300), UINT64_MAX / 2, now)) == doctest::Approx(0.3));
-	span.OnRefused(now);
+	span.OnRejected(now);
 	CHECK(span.Age(now) == Duration(0));
 }
--- a/src/tests/peer_exchange_test.cpp
+++ b/src/tests/peer_exchange_test.cpp
@@ -14,12 +14,12 @@
 
 /** One instance that exchanges news, with a store that is answered by hand. */
 struct ExchangeWorld {
-	explicit ExchangeWorld(bool first_start, uint16_t port = 0)
+	explicit ExchangeWorld(bool bootstrap, uint16_t port = 0)
 	{
 		uv_loop_init(&this->loop);
 		ExchangeLimits limits;
-		limits.first_start = first_start;
-		this->exchange.emplace(&this->loop, this->store, this->load, "self", "hall-a", limits, [](const ReportNews &) {});
+		limits.bootstrap = bootstrap;
+		this->exchange.emplace(&this->loop, this->store, this->load, "self", "hall-a", limits, [](const ReportUpdate &) {});
 		REQUIRE(this->exchange->Start({"127.0.0.1", port}, MonotonicNow()));
 	}
 
@@ -44,7 +44,7 @@
 	TargetTable targets{{}, this->lengths};                        ///< Needed by the load.
 	NameTable<ModelNumber> pools;                                  ///< Needed by the load.
 	PeerLoad load{this->targets, this->pools, milliseconds(2000)}; ///< Calls of others.
-	HandStore store;                                               ///< Store.
+	ManualStore store;                                             ///< Store.
 	std::optional<PeerExchange> exchange;                          ///< Under test.
 };
 
@@ -56,7 +56,7 @@
 	world.exchange->OnTick(MonotonicNow());
 	CHECK(world.store.calls.empty());
 	REQUIRE(world.store.writes.size() == 1);
-	world.store.writes[0].done(StoreWrite::Done);
+	world.store.writes[0].done(StoreWriteResult::Done);
 	CHECK(world.store.calls.size() == 1);
 	world.AnswerList({{"self", world.store.writes[0].value, 9, false}});
 	world.exchange->OnTick(MonotonicNow());
@@ -86,7 +86,7 @@
 	world.AnswerList({});
 	world.exchange->OnTick(MonotonicNow());
 	REQUIRE(world.store.writes.size() == 1);
-	world.store.writes[0].done(StoreWrite::Done);
+	world.store.writes[0].done(StoreWriteResult::Done);
 	world.exchange->OnTick(MonotonicNow());
 	REQUIRE(world.store.calls.size() == 1);
 	CHECK(world.store.Newest().changes);
@@ -101,13 +101,13 @@
 		world.AnswerList({});
 		world.exchange->OnTick(MonotonicNow());
 		REQUIRE(world.store.writes.size() == 1);
-		world.store.writes[0].done(StoreWrite::Done);
-		if (stops) world.exchange->Leave();
+		world.store.writes[0].done(StoreWriteResult::Done);
+		if (stops) world.exchange->Deregister();
 		world.exchange->OnTick(MonotonicNow());
 		world.AnswerList({{"self", "", 11, true}});
 		// Not at once: a store that turns this instance away would be asked at each piece of news.
 		CHECK(world.store.writes.size() == 1);
-		world.exchange->OnTick(MonotonicNow() + ExchangeLimits{}.register_pause);
+		world.exchange->OnTick(MonotonicNow() + ExchangeLimits{}.register_retry_delay);
 		CHECK(world.store.writes.size() == (stops ? 1 : 2));
 	}
 }
--- a/src/tests/peer_links_test.cpp
+++ b/src/tests/peer_links_test.cpp
@@ -67,20 +67,20 @@
 	pair.Run([&] { return answers > 0; });
 	pair.Run([] { return false; });
 	CHECK(answers >= 1);
-	CHECK(pair.dialling.StateOf(pair.Address()) == LinkState::None);
+	CHECK(pair.dialling.LinkStateOf(pair.Address()) == LinkState::None);
 	CHECK(pair.dialling.OpenLinks() == 0);
 }
 
 TEST_CASE("Links - long messages arrive as they were sent, and take less on the link")
 {
 	TablesMessage message{"i", "hall", false, {}, {}};
-	TableNews news{"targets", {1, 2}, {1, 900}, true, true, {}, {1, 950}};
+	TableUpdate news{"targets", {1, 2}, {1, 900}, true, true, {}, {1, 950}};
 	for (uint64_t i = 0; i < 1000; i++)
 		news.rows.push_back({"target-" + std::to_string(i), R"({"service":"a","address":"10.0.0.1:80","zone":"z"})", i, false});
 	message.tables.push_back(news);
-	message.parts = {{"pool", "hall", 4}};
+	message.shards = {{"pool", "hall", 4}};
 	std::string bytes = EncodePeerMessage(message);
-	CHECK(IsPacked(bytes));
+	CHECK(IsCompressed(bytes));
 	CHECK(bytes.size() * 4 < 1000 * news.rows[0].value.size());
 	Result<PeerMessage> read = DecodePeerMessage(bytes);
 	REQUIRE(read);
@@ -89,10 +89,10 @@
 	CHECK(back.tables[0].rows.size() == 1000);
 	CHECK(back.tables[0].rows[999].value == news.rows[999].value);
 	CHECK(back.tables[0].read == news.read);
-	CHECK(back.parts == message.parts);
+	CHECK(back.shards == message.shards);
 	// Cut, changed, or with a length that it does not have, it is none.
 	CHECK_FALSE(DecodePeerMessage(bytes.substr(0, bytes.size() - 1)));
-	CHECK_FALSE(DecodePeerMessage(PackMessage(bytes + std::string(5000, 'x'))));
+	CHECK_FALSE(DecodePeerMessage(CompressMessage(bytes + std::string(5000, 'x'))));
 	std::string longer = bytes;
 	longer[1] = 0x7f;
 	CHECK_FALSE(DecodePeerMessage(longer));
--- a/src/tests/peer_load_test.cpp
+++ b/src/tests/peer_load_test.cpp
@@ -23,23 +23,23 @@
 		for (int i = 0; i < 3; i++) {
 			TargetNumber number =
 			        this->targets.Configure("t" + std::to_string(i), i == 0 ? "hall-a" : "hall-b", {this->pools.Intern("pool")});
-			this->targets.SetUnreported(number, 30000);
+			this->targets.SetServiceCapacity(number, 30000);
 		}
 	}
 
-	LoadMessage News(uint64_t incarnation, std::vector<CallNews> calls, bool whole = false)
+	LoadMessage News(uint64_t incarnation, std::vector<CallUpdate> calls, bool full = false)
 	{
 		LoadMessage message;
 		message.instance = "peer";
 		message.incarnation = incarnation;
 		message.calls = std::move(calls);
-		message.whole = whole;
+		message.full = full;
 		return message;
 	}
 
-	static CallNews At(uint64_t call, const std::string &target, uint32_t generated = 0)
+	static CallUpdate At(uint64_t call, const std::string &target, uint32_t generated = 0)
 	{
-		return {CallNews::Kind::At, call, target, 1000, generated, 500, "pool", ServiceClass::Stream};
+		return {CallUpdate::Kind::At, call, target, 1000, generated, 500, "pool", ServiceClass::Stream};
 	}
 
 	double Known() const
@@ -49,10 +49,10 @@
 		return sum;
 	}
 
-	LengthEstimate lengths{LengthEstimateLimits{}};     ///< Lengths.
-	TargetTable targets{TargetLimits{}, this->lengths}; ///< Targets.
-	NameTable<ModelNumber> pools;                       ///< Pools.
-	TimePoint now{std::chrono::seconds(50)};            ///< Clock.
+	LengthEstimate lengths{LengthEstimateLimits{}};        ///< Lengths.
+	TargetTable targets{AdmissionLimits{}, this->lengths}; ///< Targets.
+	NameTable<ModelNumber> pools;                          ///< Pools.
+	TimePoint now{std::chrono::seconds(50)};               ///< Clock.
 };
 
 } // namespace
@@ -69,9 +69,9 @@
 			std::string target = "t" + std::to_string(what % 3);
 			if (what % 4 == 0) {
 				truth.erase(call);
-				load.OnMessage(world.News(1, {{CallNews::Kind::Ended, call}}), world.now);
+				load.OnMessage(world.News(1, {{CallUpdate::Kind::Ended, call}}), world.now);
 			} else if (what % 4 == 1) {
-				std::vector<CallNews> all;
+				std::vector<CallUpdate> all;
 				for (const auto &[id, entry] : truth) all.push_back(LoadWorld::At(id, entry.first, entry.second));
 				load.OnMessage(world.News(1, all, true), world.now);
 			} else {
@@ -123,12 +123,12 @@
 	LoadMessage message;
 	message.instance = "a";
 	message.incarnation = 7;
-	message.whole = true;
+	message.full = true;
 	message.calls.push_back(LoadWorld::At(9, "t1", 12));
 	LoadReport report;
 	report.capacity_tokens = 100;
 	report.used_tokens = 40;
-	report.leaving = true;
+	report.draining = true;
 	message.reports.push_back({"t2", report});
 	Result<PeerMessage> read = DecodePeerMessage(EncodePeerMessage(message));
 	REQUIRE(read);
@@ -136,8 +136,8 @@
 	CHECK(got.calls[0].generated == 12);
 	CHECK(got.calls[0].target == "t1");
 	CHECK(got.reports[0].report.used_tokens == 40);
-	CHECK(got.reports[0].report.leaving);
-	CHECK(got.whole);
+	CHECK(got.reports[0].report.draining);
+	CHECK(got.full);
 }
 
 TEST_CASE("Backup - a copy goes to another engine with memory to spare, to another hall if it can")
@@ -173,15 +173,15 @@
 TEST_CASE("Peers - news of a former life of a target say nothing of its next one")
 {
 	LengthEstimate lengths{LengthEstimateLimits{}};
-	TargetTable targets{TargetLimits{}, lengths};
+	TargetTable targets{AdmissionLimits{}, lengths};
 	NameTable<ModelNumber> pools;
 	PeerLoad load{targets, pools, std::chrono::seconds(2)};
 	TimePoint now{std::chrono::seconds(100)};
-	TargetLife former{"engine", 1000};
-	TargetLife next{"engine", 2000};
+	TargetIncarnation former{"engine", 1000};
+	TargetIncarnation next{"engine", 2000};
 	TargetNumber old_number = targets.Configure(former.Name(), "hall", {pools.Intern("pool")});
 	TargetNumber new_number = targets.Configure(next.Name(), "hall", {pools.Intern("pool")});
-	CallNews news;
+	CallUpdate news;
 	news.call = 1;
 	news.target = former.Name();
 	news.prompt_tokens = 500;
@@ -190,7 +190,7 @@
 	CHECK(targets.Get(old_number).in_flight.size() == 1);
 	CHECK(targets.Get(new_number).in_flight.empty());
 	// An instance that knows only the next life leaves such news out.
-	news.target = TargetLife{"engine", 3000}.Name();
+	news.target = TargetIncarnation{"engine", 3000}.Name();
 	news.call = 2;
 	load.OnMessage({"peer", 1, false, {news}, {}}, now);
 	CHECK(load.Calls() == 1);
@@ -198,11 +198,11 @@
 
 TEST_CASE("Lives - names tell them apart, and a target that tells no start keeps its id")
 {
-	CHECK(TargetLife{"i-1", 0}.Name() == "i-1");
-	CHECK(TargetLife{"i-1", 1764723600123}.Name() != TargetLife{"i-1", 1764723600124}.Name());
-	CHECK(TargetLife{"i-1", 1764723600123}.Name().size() <= std::string("i-1").size() + 7);
-	CHECK_FALSE(TargetLife{"i-1", 0}.IsOther(5));
-	CHECK_FALSE(TargetLife{"i-1", 5}.IsOther(0));
-	CHECK_FALSE(TargetLife{"i-1", 5}.IsOther(5));
-	CHECK(TargetLife{"i-1", 5}.IsOther(6));
+	CHECK(TargetIncarnation{"i-1", 0}.Name() == "i-1");
+	CHECK(TargetIncarnation{"i-1", 1764723600123}.Name() != TargetIncarnation{"i-1", 1764723600124}.Name());
+	CHECK(TargetIncarnation{"i-1", 1764723600123}.Name().size() <= std::string("i-1").size() + 7);
+	CHECK_FALSE(TargetIncarnation{"i-1", 0}.IsOtherIncarnation(5));
+	CHECK_FALSE(TargetIncarnation{"i-1", 5}.IsOtherIncarnation(0));
+	CHECK_FALSE(TargetIncarnation{"i-1", 5}.IsOtherIncarnation(5));
+	CHECK(TargetIncarnation{"i-1", 5}.IsOtherIncarnation(6));
 }
--- a/src/tests/places_test.cpp
+++ b/src/tests/places_test.cpp
@@ -60,9 +60,9 @@
 	REQUIRE(world.dispatcher.Submit(run, world.now).sends.size() == 1);
 	TargetNumber holder = *world.dispatcher.Holder(run.id);
 	CHECK(world.HallOf(holder) == "hall-a");
-	world.dispatcher.Targets().SetEmptiedHalls({"hall-a"});
-	world.dispatcher.Targets().MarkLeaving(holder);
-	std::optional<TargetNumber> to = world.dispatcher.ChooseMove(run.id, {}, world.now);
+	world.dispatcher.Targets().SetEvacuatedHalls({"hall-a"});
+	world.dispatcher.Targets().MarkDraining(holder);
+	std::optional<TargetNumber> to = world.dispatcher.ChooseMigrationTarget(run.id, {}, world.now);
 	REQUIRE(to);
 	CHECK(world.HallOf(*to) == "hall-b");
 	for (int i = 0; i < 20; i++) {
@@ -70,13 +70,13 @@
 		REQUIRE(decisions.sends.size() == 1);
 		CHECK(world.HallOf(decisions.sends[0].target) == "hall-b");
 	}
-	Decisions again = world.dispatcher.OnSendEnded(run.id, SendEnd::NotRun, world.now);
+	Decisions again = world.dispatcher.OnSendEnded(run.id, SendOutcome::NotExecuted, world.now);
 	REQUIRE(again.sends.size() == 1);
 	CHECK(world.HallOf(again.sends[0].target) == "hall-b");
 	// A target that joins an emptied hall gets nothing either.
 	world.Add("hall-a");
 	CHECK(world.HallOf(world.dispatcher.Submit(world.Call({{"hall-a", 1}, {"hall-b", 1}}), world.now).sends.at(0).target) == "hall-b");
-	world.dispatcher.Targets().SetEmptiedHalls({});
+	world.dispatcher.Targets().SetEvacuatedHalls({});
 	CHECK(world.HallOf(world.dispatcher.Submit(world.Call({{"hall-a", 1}, {"hall-b", 1}}), world.now).sends.at(0).target) == "hall-a");
 }
 
@@ -97,15 +97,15 @@
 	CallSpec elsewhere = world.Call({{"hall-b", 1}});
 	elsewhere.prompt_tokens = 5000;
 	CHECK(world.dispatcher.Submit(elsewhere, world.now).sends.empty());
-	world.dispatcher.Targets().SetEmptiedHalls({"hall-a"});
-	Decisions decisions = world.dispatcher.OnPlacesChanged(world.now);
-	CHECK(decisions.give_ups.size() == 3);
-	for (const GiveUpAction &action : decisions.give_ups) {
-		CHECK(action.reason == GiveUpReason::NoTarget);
+	world.dispatcher.Targets().SetEvacuatedHalls({"hall-a"});
+	Decisions decisions = world.dispatcher.OnPlacementChanged(world.now);
+	CHECK(decisions.rejections.size() == 3);
+	for (const RejectAction &action : decisions.rejections) {
+		CHECK(action.reason == RejectReason::NoTarget);
 		CHECK(action.retry_after > Duration(0));
 	}
 	CHECK(world.dispatcher.Queue().Size() == 1);
-	CHECK(world.dispatcher.Submit(world.Call({{"hall-a", 1}}), world.now).give_ups.size() == 1);
+	CHECK(world.dispatcher.Submit(world.Call({{"hall-a", 1}}), world.now).rejections.size() == 1);
 }
 
 TEST_CASE("Places - a call whose homes change while it waits goes only where it may run by then")
@@ -121,9 +121,9 @@
 	CHECK(world.dispatcher.Submit(call, world.now).sends.empty());
 	world.dispatcher.SetHalls(call.id, {{"hall-c", 1}});
 	world.Add("hall-a");
-	CHECK(world.dispatcher.OnPlacesChanged(world.now).sends.empty());
+	CHECK(world.dispatcher.OnPlacementChanged(world.now).sends.empty());
 	world.Add("hall-c");
-	Decisions decisions = world.dispatcher.OnPlacesChanged(world.now);
+	Decisions decisions = world.dispatcher.OnPlacementChanged(world.now);
 	REQUIRE(decisions.sends.size() == 1);
 	CHECK(world.HallOf(decisions.sends[0].target) == "hall-c");
 }
@@ -133,22 +133,23 @@
 	bool good = rc::check("homes", [] {
 		std::map<std::string, std::string> regions;
 		for (const char *hall : {"a", "b", "c", "d", "e"}) regions[hall] = *rc::gen::element<std::string>("r1", "r2", "r3");
-		PlaceTable places("c", regions);
-		auto homes = rc::gen::container<std::vector<std::string>>(rc::gen::element<std::string>("r1", "r2", "r3", "r4"));
+		PlacementTable places("c", regions);
+		auto home_regions = rc::gen::container<std::vector<std::string>>(rc::gen::element<std::string>("r1", "r2", "r3", "r4"));
 		Route route;
-		route.homes = *homes;
+		route.home_regions = *home_regions;
 		ClientAccount account;
-		account.homes = *homes;
+		account.home_regions = *home_regions;
 		auto has = [](const std::vector<std::string> &all, const std::string &region) {
 			return all.empty() || std::find(all.begin(), all.end(), region) != all.end();
 		};
 		std::vector<HallPreference> halls = places.HallsFor(route, &account);
 		for (const auto &[hall, region] : regions) {
-			bool allowed = has(route.homes, region) && has(account.homes, region);
+			bool allowed = has(route.home_regions, region) && has(account.home_regions, region);
 			auto named = [&, hall = hall](const HallPreference &preference) { return preference.hall == hall; };
 			RC_ASSERT(std::any_of(halls.begin(), halls.end(), named) == allowed);
 		}
-		if (!halls.empty() && has(route.homes, regions["c"]) && has(account.homes, regions["c"])) RC_ASSERT(halls.front().hall == "c");
+		if (!halls.empty() && has(route.home_regions, regions["c"]) && has(account.home_regions, regions["c"]))
+			RC_ASSERT(halls.front().hall == "c");
 	});
 	CHECK(good);
 }
@@ -157,12 +158,12 @@
 static size_t MostInASecond(std::vector<TimePoint> arrivals)
 {
 	std::sort(arrivals.begin(), arrivals.end());
-	size_t most = 0;
+	size_t max_requests = 0;
 	for (size_t first = 0, last = 0; last < arrivals.size(); last++) {
 		while (arrivals[last] - arrivals[first] >= seconds(1)) first++;
-		most = std::max(most, last - first + 1);
+		max_requests = std::max(max_requests, last - first + 1);
 	}
-	return most;
+	return max_requests;
 }
 
 TEST_CASE("Cold start - however many instances send all they may, a cold target gets no more in any second than it bears")
@@ -216,7 +217,7 @@
 		for (const std::string &name : all) {
 			if (name == own || random() % 20 != 0) known.push_back(name);
 		}
-		sum += ShareRate("target", {25, seconds(1)}, known, own).most;
+		sum += ShareRate("target", {25, seconds(1)}, known, own).max_requests;
 	}
 	CHECK(sum <= 37);
 }
@@ -227,7 +228,7 @@
 	CallSpec run = world.Call();
 	REQUIRE(world.dispatcher.Submit(run, world.now).sends.size() == 1);
 	for (TargetNumber target : world.targets) world.dispatcher.Targets().SetCold(target, world.now + seconds(2), {1, seconds(1)});
-	CHECK(!world.dispatcher.ChooseMove(run.id, {}, world.now));
+	CHECK(!world.dispatcher.ChooseMigrationTarget(run.id, {}, world.now));
 	size_t sent = 0;
 	for (int i = 0; i < 30; i++) sent += world.dispatcher.Submit(world.Call(), world.now).sends.size();
 	// One of them has had its request.
--- a/src/tests/platform_test.cpp
+++ b/src/tests/platform_test.cpp
@@ -27,12 +27,12 @@
 	CHECK(read.value().name == "n1");
 	CHECK(read.value().halls.size() == 2);
 	CHECK(read.value().halls.at("hall-b") == "r");
-	CHECK(read.value().bounds.empty == std::chrono::milliseconds(4000));
+	CHECK(read.value().platform_bounds.empty == std::chrono::milliseconds(4000));
 	CHECK(read.value().store.port == 90);
 	CHECK(read.value().first_port == 7200);
-	CHECK(read.value().bounds.drain == std::chrono::milliseconds(1500));
-	CHECK(read.value().bounds.stop_grace == std::chrono::seconds(7));
-	CHECK(read.value().bounds.retry_ratio == doctest::Approx(0.3));
+	CHECK(read.value().platform_bounds.drain == std::chrono::milliseconds(1500));
+	CHECK(read.value().platform_bounds.stop_grace == std::chrono::seconds(7));
+	CHECK(read.value().platform_bounds.retry_ratio == doctest::Approx(0.3));
 }
 
 TEST_CASE("Platform settings - a fault is named with file and field")
@@ -57,23 +57,23 @@
 	REQUIRE(read);
 	const ServingConfiguration &configuration = read.value();
 	CHECK(configuration.version == 7);
-	CHECK(configuration.routes[0].kind == RunKind::Stream);
+	CHECK(configuration.routes[0].kind == RouteType::Stream);
 	CHECK(configuration.routes[0].pools.size() == 2);
 	CHECK(configuration.routes[0].gap_objective == std::chrono::milliseconds(180));
-	CHECK(configuration.routes[1].kind == RunKind::Once);
-	CHECK(!configuration.routes[1].needs_key);
+	CHECK(configuration.routes[1].kind == RouteType::Once);
+	CHECK(!configuration.routes[1].requires_key);
 	CHECK(configuration.pools[0].engine->tokens_per_event == 4);
-	CHECK(configuration.pools[0].engine->can_move);
+	CHECK(configuration.pools[0].engine->can_migrate);
 	CHECK(!configuration.pools[1].engine);
 	CHECK(configuration.limits.max_body_bytes == 100);
-	CHECK(configuration.accounts[0].rank == 2);
-	CHECK(configuration.routes[0].homes == std::vector<std::string>{"r1", "r2"});
-	CHECK(configuration.routes[1].homes.empty());
-	CHECK(configuration.accounts[0].homes == std::vector<std::string>{"r2"});
+	CHECK(configuration.accounts[0].priority_level == 2);
+	CHECK(configuration.routes[0].home_regions == std::vector<std::string>{"r1", "r2"});
+	CHECK(configuration.routes[1].home_regions.empty());
+	CHECK(configuration.accounts[0].home_regions == std::vector<std::string>{"r2"});
 	CHECK(configuration.pools[0].cold_start == std::chrono::milliseconds(1500));
-	CHECK(configuration.pools[0].cold_per_s == doctest::Approx(25));
-	CHECK(EmptiedHallOf("evacuate/hall-a") == "hall-a");
-	CHECK(!EmptiedHallOf("config"));
+	CHECK(configuration.pools[0].cold_rate == doctest::Approx(25));
+	CHECK(EvacuatedHallOf("evacuate/hall-a") == "hall-a");
+	CHECK(!EvacuatedHallOf("config"));
 	CHECK(!DecodeConfiguration("no json"));
 	for (const char *text :
 	     {"{}", R"({"version":3})", R"({"version":3,"routes":{},"services":[]})", R"({"version":"3","routes":[],"services":[]})"})
@@ -86,7 +86,7 @@
 		(void)DecodeConfiguration(text);
 		(void)DecodeTargetRow({"key", text, 1, false});
 		(void)DecodeReport(text);
-		(void)DecodeMove(200, text);
+		(void)DecodeMigrationAnswer(200, text);
 		(void)DecodeRows(200, text);
 		(void)ParseNodeSettings(text, "file");
 		HttpHead head;
@@ -103,7 +103,7 @@
 {
 	const std::string good =
 	        R"({"service":"a","address":"10.0.0.1:80","zone":"z","capacity":4,"state":"ready","coldRemainingMs":0,"sequence":1})";
-	CHECK(DecodeTargetRow({"i-1", good, 1, false}).value().target->life == TargetLife{"i-1", 0});
+	CHECK(DecodeTargetRow({"i-1", good, 1, false}).value().target->incarnation == TargetIncarnation{"i-1", 0});
 	auto changed = [&](const std::string &from, const std::string &to) {
 		std::string text = good;
 		text.replace(text.find(from), from.size(), to);
@@ -117,7 +117,7 @@
 		CAPTURE(strange);
 		CHECK_FALSE(DecodeTargetRow({"i-1", strange, 1, false}));
 	}
-	CHECK(DecodeTargetRow({"i-1", changed("}", ",\"born\":1764723600123,\"new\":[1]}"), 1, false}).value().target->life.born ==
+	CHECK(DecodeTargetRow({"i-1", changed("}", ",\"born\":1764723600123,\"new\":[1]}"), 1, false}).value().target->incarnation.started_ms ==
 	      1764723600123);
 	// In one answer: bytes that are no base64, no value at all, no object, no key.
 	RowsAnswer answer = DecodeRows(200, R"({"rows":[{"tlsKey":"a","value":"!!","ver":5},{"tlsKey":"b","ver":6},7,{"ver":8},
@@ -132,12 +132,12 @@
 
 TEST_CASE("Platform numbers - those out of range become the nearest there is, and nothing is undefined")
 {
-	CHECK(ToWhole<uint32_t>(1e308) == UINT32_MAX);
-	CHECK(ToWhole<uint32_t>(-5) == 0);
-	CHECK(ToWhole<uint64_t>(1e23) == UINT64_MAX);
-	CHECK(ToWhole<int>(-1e308) == INT32_MIN);
-	CHECK(ToWhole<int>(std::nan("")) == 0);
-	CHECK(ToWhole<uint32_t>(7.9) == 7);
+	CHECK(ToInteger<uint32_t>(1e308) == UINT32_MAX);
+	CHECK(ToInteger<uint32_t>(-5) == 0);
+	CHECK(ToInteger<uint64_t>(1e23) == UINT64_MAX);
+	CHECK(ToInteger<int>(-1e308) == INT32_MIN);
+	CHECK(ToInteger<int>(std::nan("")) == 0);
+	CHECK(ToInteger<uint32_t>(7.9) == 7);
 }
 
 TEST_CASE("Platform rows - are decoded from the store's answer")
@@ -149,7 +149,7 @@
 	CHECK(answer.page->rows[1].deleted);
 	CHECK(answer.page->more);
 	CHECK(answer.page->version == 9);
-	CHECK(DecodeRows(410, "").failure == StoreFailure::HistoryGone);
+	CHECK(DecodeRows(410, "").failure == StoreFailure::HistoryUnavailable);
 	CHECK(DecodeRows(429, "").failure == StoreFailure::Refused);
 	CHECK(DecodeRows(503, "").failure == StoreFailure::Refused);
 	CHECK(DecodeRows(0, "").failure == StoreFailure::NoAnswer);
@@ -199,55 +199,55 @@
 {
 	HttpHead head;
 	head.status = 503;
-	CHECK(!ReadAnswer(head).not_run);
+	CHECK(!ReadAnswer(head).not_executed);
 	head.headers.push_back({"X-Not-Executed", "1"});
-	CHECK(ReadAnswer(head).not_run);
+	CHECK(ReadAnswer(head).not_executed);
 	HttpHead other;
 	other.status = 421;
-	CHECK(ReadAnswer(other).not_run);
+	CHECK(ReadAnswer(other).not_executed);
 	other.headers.push_back({"X-Server-Load", "3,1,8"});
 	CHECK(ReadAnswer(other).load->waiting == 1);
 }
 
 /** @return What an answer of \a status with \a headers says of its target. */
-static TargetSigns SignsOf(int status, HttpHeaders headers)
+static TargetSignals SignsOf(int status, HttpHeaders headers)
 {
 	HttpHead head;
 	head.status = status;
 	head.headers = std::move(headers);
 	head.headers.push_back({"X-Server-Stamp", "3e1b"});
-	return ReadAnswer(head).signs;
+	return ReadAnswer(head).signals;
 }
 
 TEST_CASE("Platform answers - a target's limit is a decimal number, the lowest of several, and anything else says nothing")
 {
-	CHECK(SignsOf(200, {}) == TargetSigns{});
-	TargetSigns said = SignsOf(200, {{"server-limit", "2.4"}});
-	CHECK(said.limit == SignState::Said);
+	CHECK(SignsOf(200, {}) == TargetSignals{});
+	TargetSignals said = SignsOf(200, {{"server-limit", "2.4"}});
+	CHECK(said.limit == SignalState::Present);
 	CHECK(said.limit_per_s == doctest::Approx(2.4));
 	CHECK(SignsOf(503, {{"Server-Limit", "7"}, {"Server-Limit", "3"}}).limit_per_s == doctest::Approx(3));
-	CHECK(SignsOf(200, {{"Server-Limit", "0"}}).limit == SignState::Said);
+	CHECK(SignsOf(200, {{"Server-Limit", "0"}}).limit == SignalState::Present);
 	CHECK(SignsOf(200, {{"Server-Limit", "99999999999999999999"}}).limit_per_s == doctest::Approx(1e6));
 	for (const char *bad : {"-1", "1e300", "inf", "nan", "x", "1.2.3", ".", "+1", "1 2", "999999999999999999999999999999999"}) {
-		TargetSigns unread = SignsOf(200, {{"Server-Limit", bad}});
-		CHECK_MESSAGE(unread.limit == SignState::Unreadable, bad);
+		TargetSignals unread = SignsOf(200, {{"Server-Limit", bad}});
+		CHECK_MESSAGE(unread.limit == SignalState::Unreadable, bad);
 		CHECK(unread.unreadable);
 	}
-	CHECK(SignsOf(200, {{"Server-Limit", "x"}, {"Server-Limit", "3"}}).limit == SignState::Said);
-	CHECK(SignsOf(421, {{"Server-Limit", "3"}, {"Server-Leaving", "1"}}) == TargetSigns{});
+	CHECK(SignsOf(200, {{"Server-Limit", "x"}, {"Server-Limit", "3"}}).limit == SignalState::Present);
+	CHECK(SignsOf(421, {{"Server-Limit", "3"}, {"Server-Leaving", "1"}}) == TargetSignals{});
 	HttpHead unstamped;
 	unstamped.status = 200;
 	unstamped.headers = {{"Server-Limit", "3"}, {"Server-Leaving", "1"}};
-	CHECK(ReadAnswer(unstamped).signs == TargetSigns{});
+	CHECK(ReadAnswer(unstamped).signals == TargetSignals{});
 }
 
 TEST_CASE("Platform answers - a target's leaving is its own plain word, a pause a number of seconds with a 503")
 {
-	CHECK(SignsOf(200, {{"Server-Leaving", "1"}}).leaving);
-	CHECK(!SignsOf(200, {{"Server-Leaving", "0"}}).leaving);
+	CHECK(SignsOf(200, {{"Server-Leaving", "1"}}).draining);
+	CHECK(!SignsOf(200, {{"Server-Leaving", "0"}}).draining);
 	CHECK(!SignsOf(200, {{"Server-Leaving", "0"}}).unreadable);
 	CHECK(SignsOf(200, {{"Server-Leaving", "yes"}}).unreadable);
-	CHECK(!SignsOf(200, {{"Server-Leaving", "yes"}}).leaving);
+	CHECK(!SignsOf(200, {{"Server-Leaving", "yes"}}).draining);
 	CHECK(SignsOf(503, {{"Retry-After", "1.5"}}).pause == std::chrono::milliseconds(1500));
 	CHECK(SignsOf(503, {{"Retry-After", "1000000"}}).pause == std::chrono::hours(24));
 	CHECK(SignsOf(200, {{"Retry-After", "1"}}).pause == Duration(0));
@@ -259,13 +259,13 @@
 
 TEST_CASE("Platform moves - each answer of an engine has its meaning")
 {
-	CHECK(DecodeMove(200, R"({"handle":"h","createdRev":12})").kind == MoveAnswer::Kind::Copied);
-	CHECK(DecodeMove(200, R"({"handle":"h","createdRev":12})").events == 12);
-	CHECK(DecodeMove(200, "{}").kind == MoveAnswer::Kind::NoAnswer);
-	CHECK(DecodeMove(404, "").kind == MoveAnswer::Kind::NoRun);
-	CHECK(DecodeMove(409, "").kind == MoveAnswer::Kind::Busy);
-	CHECK(DecodeMove(503, R"({"handle":"h"})").handle == "h");
-	CHECK(DecodeMove(0, "").kind == MoveAnswer::Kind::NoAnswer);
+	CHECK(DecodeMigrationAnswer(200, R"({"handle":"h","createdRev":12})").kind == MigrationAnswer::Kind::Copied);
+	CHECK(DecodeMigrationAnswer(200, R"({"handle":"h","createdRev":12})").events == 12);
+	CHECK(DecodeMigrationAnswer(200, "{}").kind == MigrationAnswer::Kind::NoAnswer);
+	CHECK(DecodeMigrationAnswer(404, "").kind == MigrationAnswer::Kind::NoRun);
+	CHECK(DecodeMigrationAnswer(409, "").kind == MigrationAnswer::Kind::Busy);
+	CHECK(DecodeMigrationAnswer(503, R"({"handle":"h"})").handle == "h");
+	CHECK(DecodeMigrationAnswer(0, "").kind == MigrationAnswer::Kind::NoAnswer);
 }
 
 TEST_CASE("Event splitter - whole events come out byte for byte, however the stream is cut")
@@ -291,7 +291,7 @@
 		}
 		RC_ASSERT(output == stream);
 		RC_ASSERT(ids == (std::vector<uint64_t>{3, 6, 9, 12, 15, 18}));
-		RC_ASSERT(splitter.TakeRest() == rest);
+		RC_ASSERT(splitter.TakeRemainder() == rest);
 	});
 	CHECK(good);
 }
--- a/src/tests/policy_test.cpp
+++ b/src/tests/policy_test.cpp
@@ -76,8 +76,8 @@
 	auto engine = LoadEngine("function priority(request) return 7 end");
 	CHECK_FALSE(engine->Load("syntax error here").has_value());
 	CHECK(engine->Priority({}) == 7);
-	auto lines = engine->Try();
+	auto lines = engine->DryRun();
 	REQUIRE(lines.has_value());
 	CHECK(lines.value().at(0) == "class interactive: priority 7, halls built-in");
-	CHECK_FALSE(LoadEngine("function route(r, h) return h.x.y end")->Try().has_value());
+	CHECK_FALSE(LoadEngine("function route(r, h) return h.x.y end")->DryRun().has_value());
 }
--- a/src/tests/quarantine_test.cpp
+++ b/src/tests/quarantine_test.cpp
@@ -16,26 +16,26 @@
 TEST_CASE("Quarantine - a request that comes again has the same fingerprint, another one has not")
 {
 	RequestIdentity identity{"POST", "h.example", "/s/x?y=1", "acme", "body"};
-	RequestPrint print = PrintRequest(identity);
-	CHECK(PrintRequest(identity) == print);
-	CHECK(PrintRequest({"GET", "h.example", "/s/x?y=1", "acme", "body"}) != print);
-	CHECK(PrintRequest({"POST", "g.example", "/s/x?y=1", "acme", "body"}) != print);
-	CHECK(PrintRequest({"POST", "h.example", "/s/x?y=2", "acme", "body"}) != print);
-	CHECK(PrintRequest({"POST", "h.example", "/s/x?y=1", "other", "body"}) != print);
-	CHECK(PrintRequest({"POST", "h.example", "/s/x?y=1", "acme", "body."}) != print);
+	RequestFingerprint fingerprint = ComputeFingerprint(identity);
+	CHECK(ComputeFingerprint(identity) == fingerprint);
+	CHECK(ComputeFingerprint({"GET", "h.example", "/s/x?y=1", "acme", "body"}) != fingerprint);
+	CHECK(ComputeFingerprint({"POST", "g.example", "/s/x?y=1", "acme", "body"}) != fingerprint);
+	CHECK(ComputeFingerprint({"POST", "h.example", "/s/x?y=2", "acme", "body"}) != fingerprint);
+	CHECK(ComputeFingerprint({"POST", "h.example", "/s/x?y=1", "other", "body"}) != fingerprint);
+	CHECK(ComputeFingerprint({"POST", "h.example", "/s/x?y=1", "acme", "body."}) != fingerprint);
 	// What moves from one part to the next makes another request.
-	CHECK(PrintRequest({"POST", "h.example", "/s/x?y=1", "acm", "ebody"}) != print);
+	CHECK(ComputeFingerprint({"POST", "h.example", "/s/x?y=1", "acm", "ebody"}) != fingerprint);
 }
 
 TEST_CASE("Quarantine - fingerprints survive being written down, and nothing else is read as one")
 {
 	CHECK(rc::check([](uint64_t value) {
-		RequestPrint print{value == 0 ? 1 : value};
-		RC_ASSERT(ParsePrint(PrintText(print)) == print);
+		RequestFingerprint fingerprint{value == 0 ? 1 : value};
+		RC_ASSERT(ParseFingerprint(FormatFingerprint(fingerprint)) == fingerprint);
 	}));
 	for (const char *text : {"", "0000000000000000", "123", "00000000000000g1", "+000000000000001", "00000000000000001"}) {
 		CAPTURE(text);
-		CHECK_FALSE(ParsePrint(text).has_value());
+		CHECK_FALSE(ParseFingerprint(text).has_value());
 	}
 }
 
@@ -70,8 +70,8 @@
 TEST_CASE("Quarantine - without it the same request ends a target each time that it comes")
 {
 	QuarantineLayout layout;
-	layout.limits.ends = UINT32_MAX;
-	layout.limits.likely_ends = UINT32_MAX;
+	layout.limits.crash_threshold = UINT32_MAX;
+	layout.limits.holdback_crashes = UINT32_MAX;
 	CHECK(PlayDays(layout, 5).sent_late > 100);
 }
 
@@ -93,9 +93,9 @@
 			layout.crashes_per_s = crashes;
 			layout.innocent_tries = tries;
 			QuarantineLayout three = layout;
-			three.limits.likely_ends = UINT32_MAX;
+			three.limits.holdback_crashes = UINT32_MAX;
 			QuarantineLayout for_good = layout;
-			for_good.limits.ends = 2;
+			for_good.limits.crash_threshold = 2;
 			QuarantineDay days = PlayDays(layout, DAYS);
 			QuarantineDay three_days = PlayDays(three, DAYS);
 			TellDays("two hold back", layout, days);
@@ -121,16 +121,16 @@
 	TimePoint now{std::chrono::hours(1)};
 	FickleDay day;
 	for (int i = 0; i < sends; i++, now += std::chrono::seconds(1)) {
-		if (quarantine.Judge(RequestPrint{7}, now) == Suspicion::Quarantined) {
+		if (quarantine.Judge(RequestFingerprint{7}, now) == Suspicion::Quarantined) {
 			day.refused++;
 			continue;
 		}
 		if (std::bernoulli_distribution(harm)(random)) {
-			quarantine.Add({RequestPrint{7}, "life-" + std::to_string(i)}, now);
+			quarantine.Add({RequestFingerprint{7}, "life-" + std::to_string(i)}, now);
 			day.ended++;
 			continue;
 		}
-		for (const EndRecord &end : quarantine.ClearedByAnswer(RequestPrint{7})) quarantine.Remove(end);
+		for (const CrashRecord &end : quarantine.ClearedBySuccess(RequestFingerprint{7})) quarantine.Remove(end);
 	}
 	return day;
 }
@@ -140,7 +140,7 @@
 	static constexpr int SENDS = 120;
 	static constexpr uint64_t DAYS = 200;
 	QuarantineLimits all;
-	all.cleared_by_answer = SIZE_MAX;
+	all.cleared_per_success = SIZE_MAX;
 	// The last one is innocent: targets end beside it by chance, one in a hundred of its sends.
 	for (double harm : {0.7, 0.5, 0.3, 0.01}) {
 		FickleDay one_out, all_out;
@@ -162,38 +162,38 @@
 TEST_CASE("Quarantine - two ends hold a request back for a while, three for good, and each end counts once")
 {
 	Quarantine quarantine{QuarantineLimits{}};
-	RequestPrint print{7};
+	RequestFingerprint fingerprint{7};
 	TimePoint now{std::chrono::hours(1)};
-	CHECK(quarantine.Judge(print, now) == Suspicion::None);
-	CHECK(quarantine.Add({print, "a@1"}, now));
-	CHECK_FALSE(quarantine.Add({print, "a@1"}, now));
-	CHECK(quarantine.Judge(print, now) == Suspicion::Suspected);
+	CHECK(quarantine.Judge(fingerprint, now) == Suspicion::None);
+	CHECK(quarantine.Add({fingerprint, "a@1"}, now));
+	CHECK_FALSE(quarantine.Add({fingerprint, "a@1"}, now));
+	CHECK(quarantine.Judge(fingerprint, now) == Suspicion::Suspected);
 	// The same target's next life is another end.
-	CHECK(quarantine.Add({print, "a@2"}, now));
-	CHECK(quarantine.Judge(print, now) == Suspicion::Quarantined);
-	CHECK(quarantine.Judge(RequestPrint{8}, now) == Suspicion::None);
-	CHECK(quarantine.Judge(print, now + std::chrono::seconds(21)) == Suspicion::Suspected);
+	CHECK(quarantine.Add({fingerprint, "a@2"}, now));
+	CHECK(quarantine.Judge(fingerprint, now) == Suspicion::Quarantined);
+	CHECK(quarantine.Judge(RequestFingerprint{8}, now) == Suspicion::None);
+	CHECK(quarantine.Judge(fingerprint, now + std::chrono::seconds(21)) == Suspicion::Suspected);
 	now += std::chrono::seconds(21);
-	quarantine.Add({print, "b"}, now);
-	CHECK(quarantine.Judge(print, now + std::chrono::minutes(10)) == Suspicion::Quarantined);
+	quarantine.Add({fingerprint, "b"}, now);
+	CHECK(quarantine.Judge(fingerprint, now + std::chrono::minutes(10)) == Suspicion::Quarantined);
 	// What is no longer held against it, and what has grown old.
-	quarantine.Remove({print, "a@1"});
-	CHECK(quarantine.EndsOf(print).size() == 2);
+	quarantine.Remove({fingerprint, "a@1"});
+	CHECK(quarantine.CrashesOf(fingerprint).size() == 2);
 	CHECK(quarantine.Expired(now + std::chrono::minutes(29)).empty());
 	CHECK(quarantine.Expired(now + std::chrono::minutes(31)).size() == 2);
-	for (const EndRecord &end : quarantine.All()) quarantine.Remove(end);
+	for (const CrashRecord &end : quarantine.All()) quarantine.Remove(end);
 	CHECK(quarantine.IsEmpty());
-	CHECK(quarantine.Judge(print, now) == Suspicion::None);
+	CHECK(quarantine.Judge(fingerprint, now) == Suspicion::None);
 }
 
 TEST_CASE("Quarantine - a request without a fingerprint is never held against, and no more ends are remembered than may be")
 {
 	QuarantineLimits limits;
-	limits.most = 3;
+	limits.max_records = 3;
 	Quarantine quarantine{limits};
 	TimePoint now{std::chrono::hours(1)};
-	CHECK_FALSE(quarantine.Add({RequestPrint{0}, "a"}, now));
-	for (uint64_t i = 1; i <= 9; i++) quarantine.Add({RequestPrint{i}, "a"}, now);
+	CHECK_FALSE(quarantine.Add({RequestFingerprint{0}, "a"}, now));
+	for (uint64_t i = 1; i <= 9; i++) quarantine.Add({RequestFingerprint{i}, "a"}, now);
 	CHECK(quarantine.All().size() == 3);
 	CHECK(quarantine.IsFull());
 }
@@ -205,12 +205,12 @@
 	std::vector<ModelNumber> models{ModelNumber{0}};
 	TargetNumber first = dispatcher.Targets().Configure("first", "hall", models, false);
 	TargetNumber second = dispatcher.Targets().Configure("second", "hall", models, false);
-	dispatcher.Targets().SetUnreported(first, 1);
-	dispatcher.Targets().SetUnreported(second, 1);
-	auto submit = [&](uint64_t id, uint64_t print) {
+	dispatcher.Targets().SetServiceCapacity(first, 1);
+	dispatcher.Targets().SetServiceCapacity(second, 1);
+	auto submit = [&](uint64_t id, uint64_t fingerprint) {
 		CallSpec call;
 		call.id = CallId{id};
-		call.print = RequestPrint{print};
+		call.fingerprint = RequestFingerprint{fingerprint};
 		call.generated = false;
 		call.arrived = now;
 		call.deadline = now + std::chrono::seconds(5);
@@ -219,22 +219,22 @@
 	CHECK(submit(1, 7).sends.size() == 1);
 	CHECK(submit(2, 8).sends.size() == 1);
 	CHECK(submit(3, 7).sends.empty());
-	dispatcher.Suspicions().Add({RequestPrint{7}, "a"}, now);
-	CHECK(dispatcher.OnSuspicionChanged(now).give_ups.empty());
-	dispatcher.Suspicions().Add({RequestPrint{7}, "b"}, now);
+	dispatcher.QuarantineState().Add({RequestFingerprint{7}, "a"}, now);
+	CHECK(dispatcher.OnQuarantineChanged(now).rejections.empty());
+	dispatcher.QuarantineState().Add({RequestFingerprint{7}, "b"}, now);
 	// The one that waits is refused, with the time for which it is held back.
-	Decisions waiting = dispatcher.OnSuspicionChanged(now);
-	REQUIRE(waiting.give_ups.size() == 1);
-	CHECK(waiting.give_ups[0].call == CallId{3});
-	CHECK(waiting.give_ups[0].reason == GiveUpReason::Quarantined);
-	CHECK(waiting.give_ups[0].retry_after == QuarantineLimits{}.held_back);
+	Decisions waiting = dispatcher.OnQuarantineChanged(now);
+	REQUIRE(waiting.rejections.size() == 1);
+	CHECK(waiting.rejections[0].call == CallId{3});
+	CHECK(waiting.rejections[0].reason == RejectReason::Quarantined);
+	CHECK(waiting.rejections[0].retry_after == QuarantineLimits{}.holdback);
 	// The one that was sent is not sent again, though it may be repeated.
-	Decisions ended = dispatcher.OnSendEnded(CallId{1}, SendEnd::Lost, now);
-	REQUIRE(ended.give_ups.size() == 1);
-	CHECK(ended.give_ups[0].reason == GiveUpReason::Quarantined);
-	REQUIRE(submit(4, 7).give_ups.size() == 1);
-	CHECK(submit(5, 9).give_ups.empty());
-	CHECK_FALSE(dispatcher.ChooseMove(CallId{1}, {}, now).has_value());
+	Decisions ended = dispatcher.OnSendEnded(CallId{1}, SendOutcome::Lost, now);
+	REQUIRE(ended.rejections.size() == 1);
+	CHECK(ended.rejections[0].reason == RejectReason::Quarantined);
+	REQUIRE(submit(4, 7).rejections.size() == 1);
+	CHECK(submit(5, 9).rejections.empty());
+	CHECK_FALSE(dispatcher.ChooseMigrationTarget(CallId{1}, {}, now).has_value());
 }
 
 namespace {
@@ -247,23 +247,23 @@
 		this->records.OnTick(this->now);
 	}
 
-	/** @return The rows \a ends, as the store tells them. */
-	static std::vector<StoredRow> Rows(const std::vector<EndRecord> &ends, bool deleted = false)
+	/** @return The rows \a crash_threshold, as the store tells them. */
+	static std::vector<StoredRow> Rows(const std::vector<CrashRecord> &crash_threshold, bool deleted = false)
 	{
 		std::vector<StoredRow> rows;
-		for (const EndRecord &end : ends) rows.push_back({EndKey(end), "", 5, deleted});
+		for (const CrashRecord &end : crash_threshold) rows.push_back({CrashKey(end), "", 5, deleted});
 		return rows;
 	}
 
-	HandStore store;                ///< Store.
-	std::vector<EndRecord> added;   ///< Told as added.
-	std::vector<EndRecord> removed; ///< Told as removed.
-	TimePoint now = MonotonicNow(); ///< Clock.
-	EndRecords records{this->store, WatchLimits{}, EndRecordLimits{}, "g1",
-	                   [this](const std::vector<EndRecord> &more, const std::vector<EndRecord> &gone, TimePoint) {
-		                   this->added.insert(this->added.end(), more.begin(), more.end());
-		                   this->removed.insert(this->removed.end(), gone.begin(), gone.end());
-	                   }}; ///< Under test.
+	ManualStore store;                ///< Store.
+	std::vector<CrashRecord> added;   ///< Told as added.
+	std::vector<CrashRecord> removed; ///< Told as removed.
+	TimePoint now = MonotonicNow();   ///< Clock.
+	CrashRecordStore records{this->store, WatchLimits{}, CrashRecordLimits{}, "g1",
+	                         [this](const std::vector<CrashRecord> &more, const std::vector<CrashRecord> &gone, TimePoint) {
+		                         this->added.insert(this->added.end(), more.begin(), more.end());
+		                         this->removed.insert(this->removed.end(), gone.begin(), gone.end());
+	                         }}; ///< Under test.
 };
 
 } // namespace
@@ -271,49 +271,49 @@
 TEST_CASE("Quarantine - ends are written until the store has taken them, however often it fails, and are bounded while it is away")
 {
 	RecordsWorld world;
-	EndRecord end{RequestPrint{7}, "engine@5"};
+	CrashRecord end{RequestFingerprint{7}, "engine@5"};
 	CHECK(world.records.Add(end));
 	world.Pass(std::chrono::milliseconds(25));
 	REQUIRE(world.store.writes.size() == 1);
-	CHECK(ParseEndKey(world.store.writes[0].key) == end);
+	CHECK(ParseCrashKey(world.store.writes[0].key) == end);
 	// Nothing was done; then no answer at all; then it is done.
-	world.store.writes[0].done(StoreWrite::NotDone);
+	world.store.writes[0].done(StoreWriteResult::NotDone);
 	world.Pass(std::chrono::milliseconds(400));
 	REQUIRE(world.store.writes.size() == 2);
 	world.Pass(std::chrono::milliseconds(600));
 	REQUIRE(world.store.writes.size() == 3);
-	world.store.writes[1].done(StoreWrite::Done);
+	world.store.writes[1].done(StoreWriteResult::Done);
 	CHECK(world.records.Waiting() == 1);
-	world.store.writes[2].done(StoreWrite::Done);
+	world.store.writes[2].done(StoreWriteResult::Done);
 	CHECK(world.records.Waiting() == 0);
 	CHECK(world.records.Holds(end));
 	world.records.Remove(end);
 	world.Pass(std::chrono::milliseconds(25));
 	REQUIRE(world.store.removals.size() == 1);
-	world.store.removals[0].done(StoreWrite::Done);
+	world.store.removals[0].done(StoreWriteResult::Done);
 	CHECK_FALSE(world.records.Holds(end));
-	for (uint64_t i = 1; i < 1000; i++) static_cast<void>(world.records.Add({RequestPrint{i}, "x"}));
-	CHECK(world.records.Waiting() == EndRecordLimits{}.most_waiting);
+	for (uint64_t i = 1; i < 1000; i++) static_cast<void>(world.records.Add({RequestFingerprint{i}, "x"}));
+	CHECK(world.records.Waiting() == CrashRecordLimits{}.max_pending);
 }
 
 TEST_CASE("Quarantine - what others add and remove is told once, rows that can't be read name nothing and the others hold")
 {
 	RecordsWorld world;
-	EndRecord one{RequestPrint{7}, "a"};
-	EndRecord two{RequestPrint{7}, "b/c@1"};
+	CrashRecord one{RequestFingerprint{7}, "a"};
+	CrashRecord two{RequestFingerprint{7}, "b/c@1"};
 	std::vector<StoredRow> rows = RecordsWorld::Rows({one, two});
 	rows.insert(rows.begin() + 1, {"not a key", "", 5, false});
 	rows.push_back({"0000000000000007/", "", 5, false});
 	world.records.Watch().on_changes(rows, world.now);
-	CHECK(world.added == std::vector<EndRecord>{one, two});
+	CHECK(world.added == std::vector<CrashRecord>{one, two});
 	world.records.Watch().on_changes(rows, world.now);
 	CHECK(world.added.size() == 2);
 	world.records.Watch().on_changes(RecordsWorld::Rows({one}, true), world.now);
-	CHECK(world.removed == std::vector<EndRecord>{one});
+	CHECK(world.removed == std::vector<CrashRecord>{one});
 	// A whole read that lacks an end has seen it go; one that this instance is still to write has not gone.
-	EndRecord own{RequestPrint{9}, "a"};
+	CrashRecord own{RequestFingerprint{9}, "a"};
 	CHECK(world.records.Add(own));
-	world.records.Watch().on_all({}, world.now);
-	CHECK(world.removed == std::vector<EndRecord>{one, two});
+	world.records.Watch().on_snapshot({}, world.now);
+	CHECK(world.removed == std::vector<CrashRecord>{one, two});
 	CHECK(world.records.Holds(own));
 }
--- a/src/tests/request_test.cpp
+++ b/src/tests/request_test.cpp
@@ -37,7 +37,7 @@
 {
 	auto parsed = ParseCompletion(HttpRequest{"POST", "/v1/completions", "", {}, R"({"model":"m","prompt":"x","priority":999})"});
 	REQUIRE(parsed.has_value());
-	std::string body = EngineBody(parsed.value(), 7);
+	std::string body = FormatEngineBody(parsed.value(), 7);
 	CHECK(body.find("999") == std::string::npos);
 	CHECK(body.find("\"priority\":7}") != std::string::npos);
 	CHECK(body.find("\"stream\":true") != std::string::npos);
@@ -48,7 +48,7 @@
 	bool good = rc::check("bytes", [](const std::string &bytes) {
 		(void)WrongWith(bytes);
 		(void)WrongWith(R"({"model":"m","prompt":)" + bytes + "}");
-		(void)ParsePiece(bytes);
+		(void)ParseCompletionChunk(bytes);
 		ReportedState state;
 		(void)ParseLoadReport(bytes, &state);
 		(void)ParseLoadReport(R"({"sequence":1,"capacity_tokens":2,"used_tokens":)" + bytes + "}", &state);
@@ -59,18 +59,18 @@
 
 TEST_CASE("Failures - say what was wrong, whether it ran, and when to come back")
 {
-	CallFailure failure{503, "wait-too-long", "given up", RanState::No, std::chrono::milliseconds(1500)};
-	std::string body = FailureBody(failure, "r1");
+	CallFailure failure{503, "wait-too-long", "given up", ExecutionState::No, std::chrono::milliseconds(1500)};
+	std::string body = FormatFailureBody(failure, "r1");
 	CHECK(body.find("\"ran\":\"no\"") != std::string::npos);
 	CHECK(body.find("\"retry_after_seconds\":1.5") != std::string::npos);
-	CHECK(FailureEvent(failure, "r1").starts_with("event: error\ndata: {"));
+	CHECK(FormatFailureEvent(failure, "r1").starts_with("event: error\ndata: {"));
 }
 
 TEST_CASE("Steps - are bounded per call and in calls")
 {
-	EventRing ring(2);
+	CallTraceBuffer ring(2);
 	for (int i = 0; i < 100; i++) ring.Add("a", TimePoint{}, "step");
-	CHECK(ring.Find("a").size() == EventRing::MAX_EVENTS);
+	CHECK(ring.Find("a").size() == CallTraceBuffer::MAX_EVENTS);
 	ring.Add("b", TimePoint{}, "x");
 	ring.Add("c", TimePoint{}, "x");
 	CHECK(ring.Find("a").empty());
--- a/src/tests/route_table_test.cpp
+++ b/src/tests/route_table_test.cpp
@@ -16,9 +16,9 @@
 	configuration.version = version;
 	configuration.routes.push_back({.name = "all", .host = "a.example", .path_prefix = "/", .pools = {{"x", 1}}});
 	configuration.routes.push_back({.name = "deep", .host = "a.example", .path_prefix = "/p/q/", .pools = {{"x", 3}, {"y", 1}}});
-	configuration.routes.push_back({.name = "open", .host = "b.example", .path_prefix = "/p/", .pools = {{"x", 0}}, .needs_key = false});
+	configuration.routes.push_back({.name = "open", .host = "b.example", .path_prefix = "/p/", .pools = {{"x", 0}}, .requires_key = false});
 	configuration.pools.push_back({.name = "x"});
-	configuration.accounts.push_back({.name = "one", .keys = {"k1", "k2"}, .rank = 2});
+	configuration.accounts.push_back({.name = "one", .keys = {"k1", "k2"}, .priority_level = 2});
 	configuration.has_accounts = true;
 	return configuration;
 }
@@ -73,10 +73,10 @@
 	table.Apply(Sample(1));
 	const Route &route = *table.FindRoute("a.example", "/");
 	const ClientAccount *account = nullptr;
-	CHECK(table.CheckKey(route, "k2", &account) == KeyVerdict::Known);
+	CHECK(table.CheckKey(route, "k2", &account) == KeyCheckResult::Known);
 	CHECK(account->name == "one");
-	CHECK(table.CheckKey(route, "k3", &account) == KeyVerdict::Unknown);
-	CHECK(table.CheckKey(route, "", &account) == KeyVerdict::Unknown);
-	CHECK(table.CheckKey(*table.FindRoute("b.example", "/p/"), "k3", &account) == KeyVerdict::NotNeeded);
+	CHECK(table.CheckKey(route, "k3", &account) == KeyCheckResult::Unknown);
+	CHECK(table.CheckKey(route, "", &account) == KeyCheckResult::Unknown);
+	CHECK(table.CheckKey(*table.FindRoute("b.example", "/p/"), "k3", &account) == KeyCheckResult::NotNeeded);
 	CHECK(account == nullptr);
 }
--- a/src/tests/suspension_test.cpp
+++ b/src/tests/suspension_test.cpp
@@ -27,21 +27,21 @@
 		this->cold.ExtendTo(this->start + std::chrono::seconds(8));
 		this->cold.OnSent(this->start);
 		this->cold.OnSent(this->start);
-		this->quarantine.Add({RequestPrint{7}, "a"}, this->start);
-		this->quarantine.Add({RequestPrint{7}, "b"}, this->start);
-		this->places.SetListed("other", true);
-		this->places.OnOtherStore(this->start);
-		this->places.SetAllListed({});
-		this->registry.OnAll({{"target", Listed()}}, this->start);
-		this->registry.OnOtherStore(this->start);
+		this->quarantine.Add({RequestFingerprint{7}, "a"}, this->start);
+		this->quarantine.Add({RequestFingerprint{7}, "b"}, this->start);
+		this->places.SetEvacuated("other", true);
+		this->places.OnStoreRestored(this->start);
+		this->places.SetAllEvacuated({});
+		this->registry.OnFullList({{"target", Listed()}}, this->start);
+		this->registry.OnStoreRestored(this->start);
 		this->usable = 1;
-		this->Count(this->registry.OnAll({}, this->start));
-		this->refusals.OnRefused(this->start);
+		this->Count(this->registry.OnFullList({}, this->start));
+		this->refusals.OnRejected(this->start);
 		LoadMessage message;
 		message.instance = "peer";
 		message.incarnation = 1;
 		this->peers.OnMessage(message, this->start);
-		this->watch.SetPatience(std::chrono::seconds(4));
+		this->watch.SetTakeoverDelay(std::chrono::seconds(4));
 		this->watch.Start(this->start);
 		this->store.Answer(Page({"row"}, 5));
 		for (uint64_t i = 1; i <= 4; i++) {
@@ -55,13 +55,13 @@
 	static ListedTarget Listed()
 	{
 		ListedTarget target;
-		target.life = {"target", 0};
+		target.incarnation = {"target", 0};
 		return target;
 	}
 
 	void Count(const std::vector<TargetEvent> &events)
 	{
-		for (const TargetEvent &event : events) this->usable += event.change == TargetChange::Usable ? 1 : -1;
+		for (const TargetEvent &event : events) this->usable += event.change == TargetChange::EligibleTargets ? 1 : -1;
 	}
 
 	/** A tick comes, at last. */
@@ -79,10 +79,10 @@
 	{
 		std::string text = std::string("lease ") + (this->lease.Held(at) ? "held" : "over");
 		text += std::string(", cold ") + (this->cold.IsCold(at) ? "yes" : "no") + (this->cold.MaySend(at) ? " may send" : " waits");
-		text += ", request " + std::to_string(static_cast<int>(this->quarantine.Judge(RequestPrint{7}, at)));
-		text += ", emptied " + std::to_string(this->places.Emptied(at).size()) + ", usable " + std::to_string(this->usable);
+		text += ", request " + std::to_string(static_cast<int>(this->quarantine.Judge(RequestFingerprint{7}, at)));
+		text += ", emptied " + std::to_string(this->places.Evacuated(at).size()) + ", usable " + std::to_string(this->usable);
 		text += ", load since " + std::to_string(this->refusals.Age(at).count()) + ", peers " + std::to_string(this->peers.Live().size());
-		text += std::string(", table ") + (this->watch.ReadsItself(at) ? "read here" : "left to others");
+		text += std::string(", table ") + (this->watch.ReadsFromStore(at) ? "read here" : "left to others");
 		return text + ", expired " + std::to_string(this->expired);
 	}
 
@@ -91,14 +91,14 @@
 	Lease lease{"self", std::chrono::seconds(5)};                                        ///< Held for five seconds.
 	ColdStart cold;                                                                      ///< Cold for eight, its share used up.
 	Quarantine quarantine{QuarantineLimits{}};                                           ///< Two ends of a request.
-	PlaceTable places{"own", {{"own", "r"}, {"other", "r"}}};                            ///< A hall that the store has forgotten.
+	PlacementTable places{"own", {{"own", "r"}, {"other", "r"}}};                        ///< A hall that the store has forgotten.
 	TargetRegistry registry{RegistryLimits{}};                                           ///< A target that it has forgotten.
-	RefusalSpan refusals;                                                                ///< One refusal.
+	OverloadTracker refusals;                                                            ///< One refusal.
 	LengthEstimate lengths{{}};                                                          ///< Needed by the table.
 	TargetTable targets{{}, this->lengths};                                              ///< Needed by the load.
 	NameTable<ModelNumber> pools;                                                        ///< Needed by the load.
 	PeerLoad peers{this->targets, this->pools, std::chrono::milliseconds(1800)};         ///< A peer that was heard.
-	HandStore store;                                                                     ///< Store.
+	ManualStore store;                                                                   ///< Store.
 	TableWatch watch{this->store, "table", WatchLimits{}, [this] { return this->now; }}; ///< A table left to others.
 	CallQueue queue{QueueLimits{}};                                                      ///< Calls that wait.
 	size_t expired = 0;                                                                  ///< Of them, those whose time is over.
@@ -118,7 +118,7 @@
 		// What needs no tick is right before the first one; the rest is with it.
 		RC_ASSERT(stood_still.lease.Held(end) == went_on.lease.Held(end));
 		RC_ASSERT(stood_still.cold.MaySend(end) == went_on.cold.MaySend(end));
-		RC_ASSERT(stood_still.places.Emptied(end) == went_on.places.Emptied(end));
+		RC_ASSERT(stood_still.places.Evacuated(end) == went_on.places.Evacuated(end));
 		stood_still.Tick(end);
 		went_on.Tick(end);
 		RC_ASSERT(stood_still.Say(end) == went_on.Say(end));
@@ -131,7 +131,7 @@
 	Dispatcher dispatcher(DispatchLimits{}, MakeRouter("headroom", 0));
 	TimePoint now{std::chrono::hours(1)};
 	TargetNumber target = dispatcher.Targets().Configure("target", "hall", {ModelNumber{0}}, false);
-	dispatcher.Targets().SetUnreported(target, 1);
+	dispatcher.Targets().SetServiceCapacity(target, 1);
 	CallSpec call;
 	call.generated = false;
 	call.arrived = now;
@@ -142,7 +142,7 @@
 	REQUIRE(dispatcher.Submit(call, now).sends.empty());
 	// Room comes up meanwhile: a call in time, of another account, is sent there.
 	TargetNumber second = dispatcher.Targets().Configure("second", "hall", {ModelNumber{0}}, false);
-	dispatcher.Targets().SetUnreported(second, 8);
+	dispatcher.Targets().SetServiceCapacity(second, 8);
 	now += std::chrono::seconds(10);
 	call.id = CallId{3};
 	call.account = AccountNumber{1};
@@ -151,11 +151,11 @@
 	Decisions timely = dispatcher.Submit(call, now);
 	REQUIRE(timely.sends.size() == 1);
 	CHECK(timely.sends[0].call == CallId{3});
-	CHECK(dispatcher.OnSendEnded(CallId{1}, SendEnd::Complete, now).sends.empty());
-	CHECK(dispatcher.OnPlacesChanged(now).sends.empty());
+	CHECK(dispatcher.OnSendEnded(CallId{1}, SendOutcome::Complete, now).sends.empty());
+	CHECK(dispatcher.OnPlacementChanged(now).sends.empty());
 	Decisions late = dispatcher.OnTick(now);
-	REQUIRE(late.give_ups.size() == 1);
-	CHECK(late.give_ups[0].reason == GiveUpReason::DeadlinePassed);
+	REQUIRE(late.rejections.size() == 1);
+	CHECK(late.rejections[0].reason == RejectReason::DeadlinePassed);
 }
 
 TEST_CASE("Suspension - the clock of the core counts it")
--- a/src/tests/table_sharing_test.cpp
+++ b/src/tests/table_sharing_test.cpp
@@ -22,8 +22,8 @@
 		this->store.Answer(Page({"row"}, 5));
 	}
 
-	HandStore store;  ///< Store.
-	TableWatch watch; ///< Follows the table.
+	ManualStore store; ///< Store.
+	TableWatch watch;  ///< Follows the table.
 };
 
 /** @return A name that comes before or behind "self" in the order of those that read \a first and \a second. */
@@ -47,17 +47,17 @@
 	std::string peer = PeerFor("own", "other");
 	sharing.SetReaders({{"self", 10}, {peer, 10}}, {}, false);
 	sharing.OnTick(now);
-	CHECK(own.watch.ReadsItself(now));
+	CHECK(own.watch.ReadsFromStore(now));
 	// The peer gives signs of life for longer than the patience of any reader.
 	for (int i = 0; i < 20; i++) {
 		now += milliseconds(500);
-		sharing.OnNews(peer, "hall-a", {"other", {0, 5}, {0, 5}, false, true, {}}, now);
+		sharing.OnUpdate(peer, "hall-a", {"other", {0, 5}, {0, 5}, false, true, {}}, now);
 		sharing.OnTick(now);
-		CHECK_FALSE(other.watch.ReadsItself(now));
+		CHECK_FALSE(other.watch.ReadsFromStore(now));
 	}
-	CHECK(own.watch.ReadsItself(now));
-	now += WatchLimits{}.patience_most + milliseconds(1);
-	CHECK(other.watch.ReadsItself(now));
+	CHECK(own.watch.ReadsFromStore(now));
+	now += WatchLimits{}.max_takeover_delay + milliseconds(1);
+	CHECK(other.watch.ReadsFromStore(now));
 }
 
 TEST_CASE("Sharing - one instance reads a table for all halls, and the first of the next hall takes over before others")
@@ -65,24 +65,24 @@
 	TimePoint now = MonotonicNow();
 	const std::vector<std::string> halls{"hall-a", "hall-b", "hall-c"};
 	const std::vector<std::string> order = RendezvousChoice("table", halls, halls.size());
-	std::map<std::string, Duration> patience;
+	std::map<std::string, Duration> takeover_delay;
 	for (const std::string &hall : halls) {
 		for (const char *place : {"first", "second"}) {
 			std::string name = hall + "-" + place;
 			TableSharing sharing(name, hall);
 			SharedWatch table(sharing, "table", now);
 			sharing.SetReaders({{hall + "-first", 100}, {hall + "-second", 10}}, halls, false);
-			CHECK(sharing.ReadsForHall() == (std::string(place) == "first"));
+			CHECK(sharing.IsHallReader() == (std::string(place) == "first"));
 			TimePoint silent = now;
-			while (!table.watch.ReadsItself(silent)) silent += milliseconds(10);
-			patience[name] = silent - now;
+			while (!table.watch.ReadsFromStore(silent)) silent += milliseconds(10);
+			takeover_delay[name] = silent - now;
 		}
 	}
-	CHECK(patience[order[0] + "-first"] == Duration(0));
-	CHECK(patience[order[1] + "-first"] < patience[order[2] + "-first"]);
+	CHECK(takeover_delay[order[0] + "-first"] == Duration(0));
+	CHECK(takeover_delay[order[1] + "-first"] < takeover_delay[order[2] + "-first"]);
 	for (const std::string &hall : halls) {
-		CHECK(patience[hall + "-second"] > patience[order[2] + "-first"]);
-		CHECK(patience[hall + "-second"] <= WatchLimits{}.patience_most + milliseconds(10));
+		CHECK(takeover_delay[hall + "-second"] > takeover_delay[order[2] + "-first"]);
+		CHECK(takeover_delay[hall + "-second"] <= WatchLimits{}.max_takeover_delay + milliseconds(10));
 	}
 }
 
@@ -93,10 +93,10 @@
 	TableSharing sharing("self", halls[1]);
 	SharedWatch table(sharing, "table", now);
 	sharing.SetReaders({{"self", 10}}, halls, false);
-	now += WatchLimits{}.patience_most;
-	CHECK(table.watch.ReadsItself(now));
-	sharing.OnNews("other", halls[2], {"table", {0, 5}, {0, 5}, false, true, {}}, now);
-	CHECK(table.watch.ReadsItself(now));
-	sharing.OnNews("other", halls[0], {"table", {0, 5}, {0, 5}, false, true, {}}, now);
-	CHECK_FALSE(table.watch.ReadsItself(now));
+	now += WatchLimits{}.max_takeover_delay;
+	CHECK(table.watch.ReadsFromStore(now));
+	sharing.OnUpdate("other", halls[2], {"table", {0, 5}, {0, 5}, false, true, {}}, now);
+	CHECK(table.watch.ReadsFromStore(now));
+	sharing.OnUpdate("other", halls[0], {"table", {0, 5}, {0, 5}, false, true, {}}, now);
+	CHECK_FALSE(table.watch.ReadsFromStore(now));
 }
--- a/src/tests/table_snapshot_test.cpp
+++ b/src/tests/table_snapshot_test.cpp
@@ -18,7 +18,7 @@
 /** One instance of a fleet of a hundred others, nearly all of which don't run, on a loop that it shares. */
 struct FleetInstance {
 	FleetInstance(uv_loop_t *loop, std::string name)
-	    : name(std::move(name)), exchange(loop, this->store, this->load, this->name, HALL, {}, [](const ReportNews &) {})
+	    : name(std::move(name)), exchange(loop, this->store, this->load, this->name, HALL, {}, [](const ReportUpdate &) {})
 	{
 		for (TableWatch *table : {&this->first, &this->second}) this->exchange.Share(*table);
 		REQUIRE(this->exchange.Start({"127.0.0.1", 0}, MonotonicNow()));
@@ -34,14 +34,14 @@
 		this->store.Answer({page, StoreFailure::NoAnswer, ""});
 		this->exchange.OnTick(MonotonicNow());
 		REQUIRE(this->store.writes.size() == 1);
-		this->store.writes[0].done(StoreWrite::Done);
+		this->store.writes[0].done(StoreWriteResult::Done);
 		return {this->name, this->store.writes[0].value, 11, false};
 	}
 
 	static WatchLimits Kept()
 	{
 		WatchLimits limits;
-		limits.keep = true;
+		limits.keep_rows = true;
 		return limits;
 	}
 
@@ -50,8 +50,8 @@
 	TargetTable targets{{}, this->lengths};                        ///< Needed by the load.
 	NameTable<ModelNumber> pools;                                  ///< Needed by the load.
 	PeerLoad load{this->targets, this->pools, milliseconds(2000)}; ///< Calls of others.
-	HandStore store;                                               ///< Store with the list of instances.
-	HandStore table_store;                                         ///< Store with the tables.
+	ManualStore store;                                             ///< Store with the list of instances.
+	ManualStore table_store;                                       ///< Store with the tables.
 	TableWatch first{this->table_store, "first", Kept()};          ///< A table.
 	TableWatch second{this->table_store, "second", Kept()};        ///< Another one.
 	PeerExchange exchange;                                         ///< Under test.
@@ -61,7 +61,7 @@
 std::string InCellOf(const std::string &own)
 {
 	CellDivision division(own);
-	division.OnTold({4, {1, 1}});
+	division.OnPeerCellCount({4, {1, 1}});
 	for (int i = 0;; i++) {
 		std::string name = "starts-" + std::to_string(i);
 		if (division.IsOwn(name)) return name;
@@ -82,10 +82,10 @@
 		StoredRow row = knows.List({});
 		starts.List({row});
 		CHECK(starts.exchange.Cells() == 4);
-		CHECK(starts.exchange.StartOfTables(MonotonicNow()) == TableStart::Ask);
+		CHECK(starts.exchange.ChooseTableSource(MonotonicNow()) == TableSource::Ask);
 		knows.first.Start(MonotonicNow());
 		knows.table_store.Answer(Page({"a", "b"}, 5));
-		for (TableWatch *table : {&starts.first, &starts.second}) table->StartAmongOthers(MonotonicNow() + hours(1));
+		for (TableWatch *table : {&starts.first, &starts.second}) table->StartFromPeers(MonotonicNow() + hours(1));
 		auto run = [&](auto done) {
 			for (int turn = 0; turn < 300 && !done(); turn++) {
 				uv_run(&loop, UV_RUN_NOWAIT);
