--- a/src/tests/target_limit_test.cpp
+++ b/src/tests/target_limit_test.cpp
@@ -12,54 +12,54 @@
 using std::chrono::seconds;
 
 /** @return What an answer says that names \a per_second; one that names no limit for nothing. */
-static TargetSigns Named(std::optional<double> per_second)
+static TargetSignals Named(std::optional<double> per_second)
 {
-	TargetSigns signs;
-	signs.limit = per_second ? SignState::Said : SignState::Absent;
-	signs.limit_per_s = per_second.value_or(0);
-	return signs;
+	TargetSignals signals;
+	signals.limit = per_second ? SignalState::Present : SignalState::Absent;
+	signals.limit_per_s = per_second.value_or(0);
+	return signals;
 }
 
 /** @return Most of \a arrivals, in any order, that lie within the span of a limit. */
 static size_t MostInASpan(std::vector<TimePoint> arrivals)
 {
 	std::sort(arrivals.begin(), arrivals.end());
-	size_t most = 0;
+	size_t max_requests = 0;
 	for (size_t first = 0, last = 0; last < arrivals.size(); last++) {
-		while (arrivals[last] - arrivals[first] >= LIMIT_SPAN) first++;
-		most = std::max(most, last - first + 1);
+		while (arrivals[last] - arrivals[first] >= RATE_LIMIT_WINDOW) first++;
+		max_requests = std::max(max_requests, last - first + 1);
 	}
-	return most;
+	return max_requests;
 }
 
 TEST_CASE("Limit - one that is named lower counts at once, one that is higher or gone only if it was asked for after it was heard")
 {
-	TargetLimit limit;
+	TargetRateLimit limit;
 	TimePoint now{seconds(100)};
 	CHECK(!limit.OnAnswer(Named({}), now - seconds(1), now));
 	CHECK(limit.OnAnswer(Named(3), now - seconds(1), now));
-	CHECK(limit.IsNamed());
+	CHECK(limit.IsActive());
 	// An answer that was overtaken.
 	CHECK(!limit.OnAnswer(Named({}), now - milliseconds(10), now + milliseconds(10)));
 	CHECK(!limit.OnAnswer(Named(5), now, now + milliseconds(20)));
 	CHECK(limit.OnAnswer(Named(2), now - seconds(1), now + milliseconds(30)));
-	TargetSigns garbled = Named({});
-	garbled.limit = SignState::Unreadable;
+	TargetSignals garbled = Named({});
+	garbled.limit = SignalState::Unreadable;
 	CHECK(!limit.OnAnswer(garbled, now + milliseconds(40), now + milliseconds(50)));
-	CHECK(limit.IsNamed());
+	CHECK(limit.IsActive());
 	CHECK(limit.OnAnswer(Named(4), now + milliseconds(40), now + milliseconds(60)));
 	CHECK(limit.Bound().per_second == doctest::Approx(4));
 	CHECK(limit.OnAnswer(Named({}), now + milliseconds(70), now + milliseconds(80)));
-	CHECK(!limit.IsNamed());
+	CHECK(!limit.IsActive());
 	CHECK(limit.MaySend(now));
 }
 
 TEST_CASE("Limit - what was sent shortly before it was named counts too")
 {
-	TargetLimit limit;
+	TargetRateLimit limit;
 	TimePoint now{seconds(100)};
 	for (int i = 0; i < 6; i++) limit.OnSent(now + milliseconds(100 * i));
-	limit.SetShare({4, LIMIT_SPAN});
+	limit.SetShare({4, RATE_LIMIT_WINDOW});
 	CHECK(limit.MaySend(now + seconds(1)));
 	limit.OnAnswer(Named(1), now, now + seconds(1));
 	CHECK(!limit.MaySend(now + seconds(1)));
@@ -78,8 +78,8 @@
 		TimePoint begin{seconds(1000)};
 		std::vector<TimePoint> arrivals;
 		for (const std::string &own : names) {
-			TargetLimit limit;
-			limit.SetShare(ShareRate("target", {per_second, LIMIT_SPAN}, names, own));
+			TargetRateLimit limit;
+			limit.SetShare(ShareRate("target", {per_second, RATE_LIMIT_WINDOW}, names, own));
 			limit.OnAnswer(Named(per_second), begin, begin);
 			for (TimePoint now = begin + milliseconds(random() % 600); now < begin + seconds(24);
 			     now += milliseconds(20 + random() % 100)) {
@@ -88,7 +88,7 @@
 				arrivals.push_back(now + milliseconds(random() % 150));
 			}
 		}
-		RC_ASSERT(static_cast<double>(MostInASpan(arrivals)) <= std::max(1.0, Seconds(LIMIT_SPAN) * per_second));
+		RC_ASSERT(static_cast<double>(MostInASpan(arrivals)) <= std::max(1.0, Seconds(RATE_LIMIT_WINDOW) * per_second));
 		// And what it offers is used, as far as that much is tried.
 		double tried = static_cast<double>(count) * 24 / 0.12;
 		RC_ASSERT(static_cast<double>(arrivals.size()) >= 0.7 * std::min(24 * per_second, tried));
@@ -104,15 +104,15 @@
 	{
 		for (const char *name : {"a", "b", "c"}) {
 			this->targets.push_back(this->dispatcher.Targets().Configure(name, "hall", {ModelNumber{0}}, false));
-			this->dispatcher.Targets().SetUnreported(this->targets.back(), 64);
+			this->dispatcher.Targets().SetServiceCapacity(this->targets.back(), 64);
 		}
 	}
 
 	/** \a target names \a per_second; this instance may send it \a share in a span. */
 	void Limit(TargetNumber target, std::optional<double> per_second, uint32_t share)
 	{
-		this->dispatcher.Targets().SetLimitShare(target, {share, LIMIT_SPAN});
-		this->dispatcher.Targets().OnSigns(target, Named(per_second), this->now, this->now);
+		this->dispatcher.Targets().SetLimitShare(target, {share, RATE_LIMIT_WINDOW});
+		this->dispatcher.Targets().OnSignals(target, Named(per_second), this->now, this->now);
 	}
 
 	/** A call comes. @return What is decided. */
@@ -123,7 +123,7 @@
 		call.generated = false;
 		call.arrived = this->now;
 		call.deadline = this->now + milliseconds(60);
-		call.press_from = this->now;
+		call.overcommit_from = this->now;
 		return this->dispatcher.Submit(call, this->now);
 	}
 
@@ -148,19 +148,19 @@
 	CHECK(sent[world.targets[0].value] <= 2);
 	CHECK(sent[world.targets[1].value] <= 2);
 	// The last one without a limit goes: what comes now is refused at once, with the time at which there is room.
-	world.dispatcher.Targets().MarkLeaving(world.targets[2]);
+	world.dispatcher.Targets().MarkDraining(world.targets[2]);
 	for (int i = 0; i < 4; i++) world.Ask();
 	world.now += seconds(1);
 	Decisions refused = world.Ask();
-	REQUIRE(refused.give_ups.size() == 1);
-	CHECK(refused.give_ups[0].reason == GiveUpReason::AllBound);
-	CHECK(refused.give_ups[0].bounds[static_cast<size_t>(Bound::Limit)] == 2);
-	CHECK(refused.give_ups[0].retry_after >= seconds(3));
-	CHECK(refused.give_ups[0].retry_after <= seconds(5));
+	REQUIRE(refused.rejections.size() == 1);
+	CHECK(refused.rejections[0].reason == RejectReason::AllRestricted);
+	CHECK(refused.rejections[0].restrictions[static_cast<size_t>(Restriction::Limit)] == 2);
+	CHECK(refused.rejections[0].retry_after >= seconds(3));
+	CHECK(refused.rejections[0].retry_after <= seconds(5));
 	CHECK(world.dispatcher.Queue().Size() == 0);
 	// One that comes back then is served, and what comes shortly before waits for the room.
 	world.now += seconds(3) - milliseconds(30);
-	CHECK(world.Ask().give_ups.empty());
+	CHECK(world.Ask().rejections.empty());
 	CHECK(world.dispatcher.Queue().Size() == 1);
 	world.now += milliseconds(31);
 	CHECK(world.dispatcher.OnTick(world.now).sends.size() == 1);
@@ -169,15 +169,15 @@
 TEST_CASE("Limit - those who are refused together are told different times, none before there is room")
 {
 	LimitWorld world;
-	world.dispatcher.Targets().MarkLeaving(world.targets[2]);
+	world.dispatcher.Targets().MarkDraining(world.targets[2]);
 	for (int i = 0; i < 2; i++) world.Limit(world.targets[i], 0.5, 1);
 	for (int i = 0; i < 2; i++) CHECK(world.Ask().sends.size() == 1);
 	std::set<Duration> told;
 	for (int i = 0; i < 100; i++) {
 		Decisions decisions = world.Ask();
-		REQUIRE(decisions.give_ups.size() == 1);
-		CHECK(decisions.give_ups[0].retry_after >= LIMIT_SPAN);
-		told.insert(decisions.give_ups[0].retry_after);
+		REQUIRE(decisions.rejections.size() == 1);
+		CHECK(decisions.rejections[0].retry_after >= RATE_LIMIT_WINDOW);
+		told.insert(decisions.rejections[0].retry_after);
 	}
 	CHECK(told.size() > 50);
 }
--- a/src/tests/target_pause_test.cpp
+++ b/src/tests/target_pause_test.cpp
@@ -17,16 +17,16 @@
 	{
 		for (const char *name : {"a", "b"}) {
 			this->targets.push_back(this->dispatcher.Targets().Configure(name, "hall", {ModelNumber{0}}, false));
-			this->dispatcher.Targets().SetUnreported(this->targets.back(), 64);
+			this->dispatcher.Targets().SetServiceCapacity(this->targets.back(), 64);
 		}
 	}
 
 	/** \a target turns a request away and asks for \a pause. */
 	void Pause(TargetNumber target, Duration pause)
 	{
-		TargetSigns signs;
-		signs.pause = pause;
-		this->dispatcher.Targets().OnSigns(target, signs, this->now, this->now);
+		TargetSignals signals;
+		signals.pause = pause;
+		this->dispatcher.Targets().OnSignals(target, signals, this->now, this->now);
 	}
 
 	/** A call comes. @return What is decided. */
@@ -37,7 +37,7 @@
 		call.generated = false;
 		call.arrived = this->now;
 		call.deadline = this->now + milliseconds(300);
-		call.press_from = this->now;
+		call.overcommit_from = this->now;
 		return this->dispatcher.Submit(call, this->now);
 	}
 
@@ -84,10 +84,10 @@
 		REQUIRE(decisions.sends.size() == 1);
 		TargetNumber first = decisions.sends[0].target;
 		world.Pause(first, milliseconds(100));
-		Decisions again = world.dispatcher.OnSendEnded(decisions.sends[0].call, SendEnd::TurnedAway, world.now);
+		Decisions again = world.dispatcher.OnSendEnded(decisions.sends[0].call, SendOutcome::Rejected, world.now);
 		REQUIRE(again.sends.size() == 1);
 		CHECK(again.sends[0].target != first);
-		world.dispatcher.OnSendEnded(again.sends[0].call, SendEnd::Complete, world.now);
+		world.dispatcher.OnSendEnded(again.sends[0].call, SendOutcome::Complete, world.now);
 		world.now += milliseconds(200);
 	}
 	for (TargetNumber target : world.targets) {
--- a/src/tests/target_registry_test.cpp
+++ b/src/tests/target_registry_test.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-TargetRow Row(int i, bool leaving = false, uint64_t born = 0)
+TargetRow Row(int i, bool draining = false, uint64_t started_ms = 0)
 {
 	ListedTarget target;
-	target.life = {"target-" + std::to_string(i), born};
+	target.incarnation = {"target-" + std::to_string(i), started_ms};
 	target.pool = "pool";
 	target.address = "127.0.0.1:" + std::to_string(8000 + i);
-	target.leaving = leaving;
-	return {target.life.id, target};
+	target.draining = draining;
+	return {target.incarnation.id, target};
 }
 
 TargetRow Gone(int i)
@@ -42,7 +42,7 @@
 	bool good = rc::check("final", [](const std::vector<uint8_t> &steps) {
 		TargetRegistry registry({});
 		TimePoint now{std::chrono::seconds(100)};
-		registry.OnAll(Rows(4), now);
+		registry.OnFullList(Rows(4), now);
 		bool departed = false;
 		for (uint8_t step : steps) {
 			now += milliseconds(step);
@@ -58,18 +58,18 @@
 				events = registry.OnChanges({Gone(0)}, now);
 				break;
 			case 3:
-				events = registry.OnAll(Rows(4), now);
+				events = registry.OnFullList(Rows(4), now);
 				break;
 			case 4:
-				registry.OnStoreRegained(now);
-				events = registry.OnOwnNotice("target-0", "own-notice", now);
+				registry.OnStoreReconnected(now);
+				events = registry.OnDrainNotice("target-0", "own-notice", now);
 				break;
 			default:
 				events = registry.OnTick(now);
 			}
 			departed = departed || step % 6 == 1 || step % 6 == 4;
 			for (const TargetEvent &event : events) {
-				if (departed && event.target.life.id == "target-0") RC_ASSERT(event.change == TargetChange::Leaving);
+				if (departed && event.target.incarnation.id == "target-0") RC_ASSERT(event.change == TargetChange::Draining);
 			}
 		}
 	});
@@ -80,11 +80,11 @@
 {
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
-	registry.OnAll(Rows(9), now);
+	registry.OnFullList(Rows(9), now);
 	std::vector<TargetEvent> events = registry.OnChanges({Gone(3)}, now + milliseconds(10));
 	REQUIRE(events.size() == 1);
-	CHECK(events[0].change == TargetChange::Leaving);
-	CHECK(events[0].target.life.id == "target-3");
+	CHECK(events[0].change == TargetChange::Draining);
+	CHECK(events[0].target.incarnation.id == "target-3");
 }
 
 TEST_CASE("Registry - rows that lapsed while the store was away keep their targets for the grace, and no longer")
@@ -92,24 +92,24 @@
 	RegistryLimits limits;
 	TargetRegistry registry(limits);
 	TimePoint now{std::chrono::seconds(100)};
-	registry.OnAll(Rows(6), now);
+	registry.OnFullList(Rows(6), now);
 	now += std::chrono::seconds(5);
-	registry.OnStoreRegained(now);
-	CHECK(registry.OnAll({}, now).empty());
+	registry.OnStoreReconnected(now);
+	CHECK(registry.OnFullList({}, now).empty());
 	// Three of them write their rows again in time.
 	CHECK(registry.OnChanges({Row(0), Row(1), Row(2)}, now + milliseconds(900)).empty());
-	CHECK(registry.OnTick(now + limits.lapse_grace - milliseconds(1)).empty());
-	std::vector<TargetEvent> events = registry.OnTick(now + limits.lapse_grace);
+	CHECK(registry.OnTick(now + limits.expiry_grace - milliseconds(1)).empty());
+	std::vector<TargetEvent> events = registry.OnTick(now + limits.expiry_grace);
 	CHECK(events.size() == 3);
-	for (const TargetEvent &event : events) CHECK(event.change == TargetChange::Leaving);
+	for (const TargetEvent &event : events) CHECK(event.change == TargetChange::Draining);
 }
 
 TEST_CASE("Registry - rows that lapsed while the store was away keep even a few targets for the grace")
 {
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
-	registry.OnAll(Rows(9), now);
-	registry.OnStoreRegained(now);
+	registry.OnFullList(Rows(9), now);
+	registry.OnStoreReconnected(now);
 	CHECK(registry.OnChanges({Gone(3)}, now + milliseconds(5)).empty());
 	CHECK(registry.OnTick(now + milliseconds(1500)).empty());
 	CHECK(registry.OnTick(now + milliseconds(2100)).size() == 1);
@@ -119,7 +119,7 @@
 {
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
-	registry.OnAll(Rows(9), now);
+	registry.OnFullList(Rows(9), now);
 	std::vector<TargetRow> gone;
 	for (int i = 0; i < 9; i++) gone.push_back(Gone(i));
 	CHECK(registry.OnChanges(gone, now + milliseconds(10)).empty());
@@ -131,7 +131,7 @@
 {
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
-	CHECK(registry.OnAll(Rows(2), now).size() == 2);
+	CHECK(registry.OnFullList(Rows(2), now).size() == 2);
 	TargetRow again = Row(0);
 	again.target->sequence = 77;
 	CHECK(registry.OnChanges({again}, now).empty());
@@ -145,30 +145,30 @@
 	static constexpr uint64_t SECOND = 2000;
 	TimePoint now{std::chrono::seconds(100)};
 	TargetRegistry registry({});
-	registry.OnAll({Row(0, false, FIRST), Row(1, false, FIRST)}, now);
+	registry.OnFullList({Row(0, false, FIRST), Row(1, false, FIRST)}, now);
 	// It said that it leaves, and its row went; the next life is usable, the former one stays departed.
 	registry.OnChanges({Row(0, true, FIRST)}, now);
 	registry.OnChanges({Gone(0)}, now);
 	std::vector<TargetEvent> events = registry.OnChanges({Row(0, false, SECOND)}, now);
 	REQUIRE(events.size() == 2);
-	CHECK(events[0].change == TargetChange::Ended);
-	CHECK(events[0].target.life.born == FIRST);
-	CHECK(events[1].change == TargetChange::Usable);
-	CHECK(events[1].target.life.born == SECOND);
+	CHECK(events[0].change == TargetChange::Terminated);
+	CHECK(events[0].target.incarnation.started_ms == FIRST);
+	CHECK(events[1].change == TargetChange::EligibleTargets);
+	CHECK(events[1].target.incarnation.started_ms == SECOND);
 	// A row of the former life that is told late changes nothing.
 	CHECK(registry.OnChanges({Row(0, false, FIRST)}, now).empty());
 	// One that crashed comes back before its row lapsed: the former life has ended, and that is told before the new one is used.
 	events = registry.OnChanges({Row(1, false, SECOND)}, now);
 	REQUIRE(events.size() == 2);
-	CHECK(events[0].change == TargetChange::Ended);
-	CHECK(events[0].target.life.born == FIRST);
-	CHECK(events[1].change == TargetChange::Usable);
-	CHECK(events[1].target.life.born == SECOND);
+	CHECK(events[0].change == TargetChange::Terminated);
+	CHECK(events[0].target.incarnation.started_ms == FIRST);
+	CHECK(events[1].change == TargetChange::EligibleTargets);
+	CHECK(events[1].target.incarnation.started_ms == SECOND);
 	// What is still said of the former life changes nothing for the new one.
-	CHECK(registry.OnOwnNotice(TargetLife{"target-1", FIRST}.Name(), "own-notice", now).empty());
+	CHECK(registry.OnDrainNotice(TargetIncarnation{"target-1", FIRST}.Name(), "own-notice", now).empty());
 	CHECK(registry.OnTick(now + milliseconds(10)).empty());
 	// Its own notice does.
-	CHECK(registry.OnOwnNotice(TargetLife{"target-1", SECOND}.Name(), "own-notice", now).size() == 1);
+	CHECK(registry.OnDrainNotice(TargetIncarnation{"target-1", SECOND}.Name(), "own-notice", now).size() == 1);
 	CHECK(registry.OnChanges({Row(1, false, SECOND)}, now).empty());
 }
 
@@ -179,24 +179,24 @@
 		TimePoint now{std::chrono::seconds(100)};
 		std::map<std::string, bool> usable;
 		std::set<std::string> over;
-		uint64_t born = 1;
-		registry.OnAll({Row(0, false, born)}, now);
-		usable[TargetLife{"target-0", born}.Name()] = true;
+		uint64_t started_ms = 1;
+		registry.OnFullList({Row(0, false, started_ms)}, now);
+		usable[TargetIncarnation{"target-0", started_ms}.Name()] = true;
 		for (uint8_t step : steps) {
 			now += milliseconds(step);
 			std::vector<TargetEvent> events;
-			if (step % 5 == 0) events = registry.OnChanges({Row(0, false, ++born)}, now);
-			if (step % 5 == 1) events = registry.OnChanges({Row(0, step % 2 == 0, born)}, now);
+			if (step % 5 == 0) events = registry.OnChanges({Row(0, false, ++started_ms)}, now);
+			if (step % 5 == 1) events = registry.OnChanges({Row(0, step % 2 == 0, started_ms)}, now);
 			if (step % 5 == 2) events = registry.OnChanges({Gone(0)}, now);
-			if (step % 5 == 3) events = registry.OnAll({Row(0, false, born)}, now);
+			if (step % 5 == 3) events = registry.OnFullList({Row(0, false, started_ms)}, now);
 			if (step % 5 == 4) events = registry.OnTick(now);
 			for (const TargetEvent &event : events) {
-				std::string name = event.target.life.Name();
-				RC_ASSERT(event.change != TargetChange::Usable || !over.contains(name));
-				usable[name] = event.change == TargetChange::Usable;
-				if (event.change == TargetChange::Ended) over.insert(name);
+				std::string name = event.target.incarnation.Name();
+				RC_ASSERT(event.change != TargetChange::EligibleTargets || !over.contains(name));
+				usable[name] = event.change == TargetChange::EligibleTargets;
+				if (event.change == TargetChange::Terminated) over.insert(name);
 			}
-			for (const auto &[name, used] : usable) RC_ASSERT(!used || name == (TargetLife{"target-0", born}.Name()));
+			for (const auto &[name, used] : usable) RC_ASSERT(!used || name == (TargetIncarnation{"target-0", started_ms}.Name()));
 		}
 	}));
 }
--- a/tests/fuzz/decoders.cpp
+++ b/tests/fuzz/decoders.cpp
@@ -62,7 +62,7 @@
 	size_t middle = bytes.size() / 2;
 	bool good = reader.Add(std::string_view(bytes).substr(0, middle)) && reader.Add(std::string_view(bytes).substr(middle));
 	while (good && reader.IsPaused()) good = reader.Resume();
-	reader.AddEnd();
+	reader.AddEof();
 }
 
 /** Read \a bytes as the events of a stream. */
@@ -71,7 +71,7 @@
 	EventSplitter splitter;
 	if (!splitter.Add(bytes)) return;
 	while (std::optional<RawEvent> event = splitter.Next()) static_cast<void>(event->bytes.size());
-	static_cast<void>(splitter.TakeRest());
+	static_cast<void>(splitter.TakeRemainder());
 }
 
 /** Read \a bytes as records and changes of a configuration. */
@@ -89,19 +89,19 @@
 /** @return Messages between instances, one of each kind that gateways use. */
 static std::vector<std::string> PeerMessages()
 {
-	LoadMessage load{"g1", 7, true, {{CallNews::Kind::At, 3, "i-1@abc123", 100, 20, 300, "pool", ServiceClass::Stream}}, {{"i-1", {}}}};
+	LoadMessage load{"g1", 7, true, {{CallUpdate::Kind::At, 3, "i-1@abc123", 100, 20, 300, "pool", ServiceClass::Stream}}, {{"i-1", {}}}};
 	TablesMessage tables{"g1", "hall", false, {{"t", {3, 1}, {3, 2}, true, true, {{"key", "value", 2, false}}}}};
 	HallLoadMessage halls;
 	halls.hall = "hall";
-	halls.at_home.push_back({"i-1", 100, 2, 30});
-	SignsMessage signs{"g1", "hall", false, {{"i-1@abc123", true, SignState::Said, 2.4, std::chrono::milliseconds(5)}, {"i-2"}}};
+	halls.local_targets.push_back({"i-1", 100, 2, 30});
+	SignalsMessage signals{"g1", "hall", false, {{"i-1@abc123", true, SignalState::Present, 2.4, std::chrono::milliseconds(5)}, {"i-2"}}};
 	PresenceMessage presence{"g1", {"127.0.0.1:1", "hall", 10}, 3};
 	HeartbeatMessage heartbeat;
 	heartbeat.echoes.emplace_back("g1", 5);
 	std::vector<std::string> bytes;
 	for (const PeerMessage &message :
-	     {PeerMessage(load), PeerMessage(tables), PeerMessage(halls), PeerMessage(presence), PeerMessage(signs), PeerMessage(heartbeat),
-	      PeerMessage(LeaseAskMessage{"g1", "i-1@abc123", 7, 3}), PeerMessage(LeaseGrantMessage{"g2", "i-1@abc123", 7, 2})})
+	     {PeerMessage(load), PeerMessage(tables), PeerMessage(halls), PeerMessage(presence), PeerMessage(signals), PeerMessage(heartbeat),
+	      PeerMessage(LeaseRequestMessage{"g1", "i-1@abc123", 7, 3}), PeerMessage(LeaseGrantMessage{"g2", "i-1@abc123", 7, 2})})
 		bytes.push_back(EncodePeerMessage(message));
 	return bytes;
 }
@@ -119,9 +119,11 @@
 	         },
 	         {TARGET_ROW}},
 	        {"configuration", [](const std::string &bytes) { static_cast<void>(DecodeConfiguration(bytes)); }, {CONFIGURATION}},
-	        {"end-row", [](const std::string &bytes) { static_cast<void>(ParseEndKey(bytes)); }, {"00000000000000a7/i-1@abc123"}},
+	        {"end-row", [](const std::string &bytes) { static_cast<void>(ParseCrashKey(bytes)); }, {"00000000000000a7/i-1@abc123"}},
 	        {"report", [](const std::string &bytes) { static_cast<void>(DecodeReport(bytes)); }, {REPORT}},
-	        {"move", [](const std::string &bytes) { static_cast<void>(DecodeMove(200, bytes)); }, {R"({"handle":"h","createdRev":5})"}},
+	        {"move",
+	         [](const std::string &bytes) { static_cast<void>(DecodeMigrationAnswer(200, bytes)); },
+	         {R"({"handle":"h","createdRev":5})"}},
 	        {"peer", [](const std::string &bytes) { static_cast<void>(DecodePeerMessage(bytes)); }, PeerMessages()},
 	        {"request", [](const std::string &bytes) { ReadHttp(bytes, HttpReader::Kind::Requests); }, {REQUEST}},
 	        {"answer", [](const std::string &bytes) { ReadHttp(bytes, HttpReader::Kind::Answers); }, {ANSWER, REFUSAL}},
@@ -144,7 +146,7 @@
 	         },
 	         {COMPLETION}},
 	        {"piece",
-	         [](const std::string &bytes) { static_cast<void>(ParsePiece(bytes)); },
+	         [](const std::string &bytes) { static_cast<void>(ParseCompletionChunk(bytes)); },
 	         {R"({"id":"g","choices":[{"text":"t","index":0,"finish_reason":null}]})"}},
 	        {"load-report",
 	         [](const std::string &bytes) {
--- a/tests/runner/http.cpp
+++ b/tests/runner/http.cpp
@@ -79,18 +79,18 @@
 }
 
 /** Read the field \a key of the table on top into a text. */
-static std::string TextField(lua_State *lua, const char *key, const char *otherwise)
+static std::string TextField(lua_State *lua, const char *key, const char *fallback)
 {
 	lua_getfield(lua, 1, key);
-	std::string text = lua_isnil(lua, -1) ? otherwise : lua_tostring(lua, -1);
+	std::string text = lua_isnil(lua, -1) ? fallback : lua_tostring(lua, -1);
 	lua_pop(lua, 1);
 	return text;
 }
 
-static long NumberField(lua_State *lua, const char *key, long otherwise)
+static long NumberField(lua_State *lua, const char *key, long fallback)
 {
 	lua_getfield(lua, 1, key);
-	long number = lua_isnil(lua, -1) ? otherwise : static_cast<long>(lua_tonumber(lua, -1));
+	long number = lua_isnil(lua, -1) ? fallback : static_cast<long>(lua_tonumber(lua, -1));
 	lua_pop(lua, 1);
 	return number;
 }
@@ -207,7 +207,7 @@
 	return 2;
 }
 
-void EndCalls()
+void JoinCalls()
 {
 	for (auto &[number, call] : calls) call->thread.join();
 	calls.clear();
--- a/tests/runner/main.cpp
+++ b/tests/runner/main.cpp
@@ -42,8 +42,8 @@
 	std::string path = "package.path = '" + std::filesystem::absolute(script).parent_path().string() + "/?.lua'; math.randomseed(SEED)";
 	bool good = luaL_dostring(lua, path.c_str()) == LUA_OK && luaL_dofile(lua, argv[1]) == LUA_OK;
 	if (!good) std::cerr << "FAILED: " << lua_tostring(lua, -1) << std::endl;
-	cottonspool::EndProcesses();
-	cottonspool::EndCalls();
+	cottonspool::KillProcesses();
+	cottonspool::JoinCalls();
 	lua_close(lua);
 	if (!good) cottonspool::PrintLogs(dir);
 	if (FLAGS_keep) std::cout << "logs: " << dir << std::endl;
--- a/tests/runner/processes.cpp
+++ b/tests/runner/processes.cpp
@@ -161,7 +161,7 @@
 	lua_register(lua, "sha256", Sha256);
 }
 
-void EndProcesses()
+void KillProcesses()
 {
 	for (auto &[name, process] : processes) {
 		Reap(process, false);
--- a/tests/runner/runner_func.h
+++ b/tests/runner/runner_func.h
@@ -16,10 +16,10 @@
 void RegisterHttp(lua_State *lua);
 
 /** Kill every process that was spawned and is still there. */
-void EndProcesses();
+void KillProcesses();
 
 /** Wait for the calls that nobody has waited for; every process must have ended before. */
-void EndCalls();
+void JoinCalls();
 
 /** Print the last lines of every log in \a dir. */
 void PrintLogs(const std::string &dir);
--- a/tests/standins/callers.cpp
+++ b/tests/standins/callers.cpp
@@ -17,28 +17,28 @@
 
 namespace cottonspool {
 
-static constexpr uint64_t PACE_MS = 10;         ///< Time between looks at what is due.
-static constexpr int TOKENS_PER_EVENT = 4;      ///< As the stand-in's engines are configured.
-static constexpr int64_t LIMIT_MS = 15000;      ///< Time limit of a stream.
-static constexpr int64_t PLAIN_LIMIT_MS = 2000; ///< Time limit of a plain call.
-static constexpr double LEAVE_PART = 0.04;      ///< Part of the callers who leave before their answer is whole.
+static constexpr uint64_t PACE_MS = 10;          ///< Time between looks at what is due.
+static constexpr int TOKENS_PER_EVENT = 4;       ///< As the stand-in's engines are configured.
+static constexpr int64_t LIMIT_MS = 15000;       ///< Time limit of a stream.
+static constexpr int64_t PLAIN_LIMIT_MS = 2000;  ///< Time limit of a plain call.
+static constexpr double DISCONNECT_RATIO = 0.04; ///< Part of the callers who leave before their answer is whole.
 
 /** One request on its way. */
-struct Asked {
-	std::string id;           ///< Its id; begins with the instance's name.
-	std::string instance;     ///< Instance asked.
-	char kind = 'r';          ///< 's' stream, 'o' once, 'r' repeatable.
-	int64_t began = 0;        ///< When.
-	int64_t leaves_at = 0;    ///< When the caller leaves; 0 for never.
-	uint64_t call = 0;        ///< Call under way.
-	int status = 0;           ///< Status; 0 while there is none.
-	bool stamped = false;     ///< The answer bears a target's stamp.
-	std::string body;         ///< Body so far; of a stream what is not yet a whole event.
-	uint64_t events = 0;      ///< Events seen, in order.
-	uint64_t length = 0;      ///< Events that the stream has.
-	std::string fault;        ///< Broken promise seen in the answer.
-	bool retry_after = false; ///< It was told when to come back.
-	int64_t last_at = 0;      ///< When the last bytes came.
+struct CallerRequest {
+	std::string id;             ///< Its id; begins with the instance's name.
+	std::string instance;       ///< Instance asked.
+	char kind = 'r';            ///< 's' stream, 'o' once, 'r' repeatable.
+	int64_t began = 0;          ///< When.
+	int64_t disconnects_at = 0; ///< When the caller leaves; 0 for never.
+	uint64_t call = 0;          ///< Call under way.
+	int status = 0;             ///< Status; 0 while there is none.
+	bool stamped = false;       ///< The answer bears a target's stamp.
+	std::string body;           ///< Body so far; of a stream what is not yet a whole event.
+	uint64_t events = 0;        ///< Events seen, in order.
+	uint64_t length = 0;        ///< Events that the stream has.
+	std::string violation;      ///< Broken promise seen in the answer.
+	bool retry_after = false;   ///< It was told when to come back.
+	int64_t last_at = 0;        ///< When the last bytes came.
 };
 
 /** All callers. */
@@ -46,55 +46,55 @@
 public:
 	explicit Callers(uv_loop_t *loop) : upstream(loop), random(FLAGS_seed)
 	{
-		Every(loop, PACE_MS, [this] { this->Pace(); });
+		Every(loop, PACE_MS, [this] { this->OnPace(); });
 	}
 
 	/** Answer the scenario: {"instances": {NAME: IP:PORT}} sets whom to ask; "/take" tells what has ended since the last time. */
 	void Handle(const std::shared_ptr<HttpExchange> &exchange)
 	{
 		if (exchange->request.path == "/take") {
-			Answer(exchange, 200, {{"ended", this->ended}, {"open", this->asked.size()}, {"now_ms", NowMs()}});
+			Answer(exchange, 200, {{"ended", this->ended}, {"open", this->open_requests.size()}, {"now_ms", NowMs()}});
 			this->ended = Json::array();
 			return;
 		}
-		Json order = Body(*exchange);
+		Json order = JsonBody(*exchange);
 		if (order.contains("instances")) this->instances = order["instances"].get<std::map<std::string, std::string>>();
 		this->active = order.value("active", this->active);
 		Answer(exchange, 200, {{"ok", true}});
 	}
 
 private:
-	double Draw() { return std::uniform_real_distribution<double>(0, 1)(this->random); }
+	double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(this->random); }
 
-	void Pace()
+	void OnPace()
 	{
 		this->upstream.OnTick(MonotonicNow());
 		int64_t now = NowMs();
-		for (auto it = this->asked.begin(); it != this->asked.end();) {
+		for (auto it = this->open_requests.begin(); it != this->open_requests.end();) {
 			auto each = it++;
-			if (each->leaves_at != 0 && now >= each->leaves_at) this->Leave(each);
+			if (each->disconnects_at != 0 && now >= each->disconnects_at) this->Disconnect(each);
 		}
-		this->due += FLAGS_per_second * static_cast<double>(PACE_MS) / 1000;
-		for (; this->due >= 1; this->due--) {
-			if (this->active && !this->instances.empty()) this->Ask(now);
+		this->requests_due += FLAGS_per_second * static_cast<double>(PACE_MS) / 1000;
+		for (; this->requests_due >= 1; this->requests_due--) {
+			if (this->active && !this->instances.empty()) this->StartRequest(now);
 		}
 	}
 
-	void Ask(int64_t now)
+	void StartRequest(int64_t now)
 	{
 		auto chosen = std::next(this->instances.begin(), static_cast<long>(this->random() % this->instances.size()));
-		auto each = this->asked.emplace(this->asked.end());
+		auto each = this->open_requests.emplace(this->open_requests.end());
 		each->instance = chosen->first;
-		each->id = chosen->first + "-" + std::to_string(FLAGS_seed) + "-" + std::to_string(++this->last);
-		double kind = this->Draw();
+		each->id = chosen->first + "-" + std::to_string(FLAGS_seed) + "-" + std::to_string(++this->last_request);
+		double kind = this->RandomFraction();
 		each->kind = kind < 0.35 ? 's' : kind < 0.65 ? 'o' : 'r';
 		each->began = each->last_at = now;
 		each->length = 1 + this->random() % static_cast<uint64_t>(FLAGS_most_events);
-		if (this->Draw() < LEAVE_PART) each->leaves_at = now + static_cast<int64_t>(this->Draw() * 1000);
+		if (this->RandomFraction() < DISCONNECT_RATIO) each->disconnects_at = now + static_cast<int64_t>(this->RandomFraction() * 1000);
 		each->call = this->upstream.Start(this->MakeCall(each, chosen->second));
 	}
 
-	UpstreamCall MakeCall(std::list<Asked>::iterator each, const std::string &address)
+	UpstreamCall MakeCall(std::list<CallerRequest>::iterator each, const std::string &address)
 	{
 		size_t colon = address.find(':');
 		int64_t limit = each->kind == 's' ? LIMIT_MS : PLAIN_LIMIT_MS;
@@ -119,18 +119,18 @@
 		return call;
 	}
 
-	void OnHead(Asked &each, const HttpHead &head)
+	void OnHead(CallerRequest &each, const HttpHead &head)
 	{
 		each.status = head.status;
 		each.stamped = !FindHeader(head.headers, "X-Server-Stamp").empty();
 		each.retry_after = !FindHeader(head.headers, "Retry-After").empty();
 		each.last_at = NowMs();
-		if (head.status == 200 && !each.stamped) each.fault = "a success without a target's stamp";
+		if (head.status == 200 && !each.stamped) each.violation = "a success without a target's stamp";
 		std::string_view told = FindHeader(head.headers, "X-Attempt-Id");
-		if (!told.empty() && told != each.id) each.fault = "the answer of " + std::string(told);
+		if (!told.empty() && told != each.id) each.violation = "the answer of " + std::string(told);
 	}
 
-	void OnBody(Asked &each, std::string_view bytes)
+	void OnBody(CallerRequest &each, std::string_view bytes)
 	{
 		each.last_at = NowMs();
 		each.body.append(bytes);
@@ -139,30 +139,30 @@
 			std::string number = std::to_string(++each.events);
 			std::string wanted = "id: " + number + "\ndata: " + each.id + "-" + number;
 			std::string event = each.body.substr(0, end);
-			if (event != wanted && each.fault.empty()) each.fault = "event " + number + " is " + event;
+			if (event != wanted && each.violation.empty()) each.violation = "event " + number + " is " + event;
 			each.body.erase(0, end + 2);
 		}
 	}
 
-	void OnEnd(std::list<Asked>::iterator each, UpstreamEnd end, const char *cause)
+	void OnEnd(std::list<CallerRequest>::iterator each, UpstreamEnd end, const char *cause)
 	{
 		bool whole = end == UpstreamEnd::Complete;
-		if (whole && each->status == 200 && each->kind == 's' && each->events != each->length && each->fault.empty())
-			each->fault = "looks complete after " + std::to_string(each->events) + " of " + std::to_string(each->length) + " events";
+		if (whole && each->status == 200 && each->kind == 's' && each->events != each->length && each->violation.empty())
+			each->violation = "looks complete after " + std::to_string(each->events) + " of " + std::to_string(each->length) + " events";
 		if (whole && each->status == 200 && each->kind != 's' && each->body != "answer to " + each->id)
-			each->fault = "body " + each->body.substr(0, 80);
-		this->Tell(each, whole ? "whole" : end == UpstreamEnd::NotSent ? "not-sent" : "broken", cause);
+			each->violation = "body " + each->body.substr(0, 80);
+		this->RecordEnd(each, whole ? "whole" : end == UpstreamEnd::NotSent ? "not-sent" : "broken", cause);
 	}
 
-	void Leave(std::list<Asked>::iterator each)
+	void Disconnect(std::list<CallerRequest>::iterator each)
 	{
 		this->upstream.Cancel(each->call);
-		this->Tell(each, "left", "");
+		this->RecordEnd(each, "left", "");
 	}
 
-	void Tell(std::list<Asked>::iterator each, const char *end, const char *cause)
+	void RecordEnd(std::list<CallerRequest>::iterator each, const char *end, const char *cause)
 	{
-		if (!each->fault.empty()) std::cout << "BROKEN " << each->id << ": " << each->fault << std::endl;
+		if (!each->violation.empty()) std::cout << "BROKEN " << each->id << ": " << each->violation << std::endl;
 		this->ended.push_back({{"id", each->id},
 		                       {"instance", each->instance},
 		                       {"kind", std::string(1, each->kind)},
@@ -173,17 +173,17 @@
 		                       {"end", end},
 		                       {"cause", cause},
 		                       {"retry_after", each->retry_after},
-		                       {"fault", each->fault}});
-		this->asked.erase(each);
+		                       {"fault", each->violation}});
+		this->open_requests.erase(each);
 	}
 
 	HttpUpstream upstream;                        ///< Connections, kept until the instance is gone.
 	pcg64 random;                                 ///< What is asked.
 	std::map<std::string, std::string> instances; ///< Whom to ask.
-	std::list<Asked> asked;                       ///< Requests on their way.
+	std::list<CallerRequest> open_requests;       ///< Requests on their way.
 	Json ended = Json::array();                   ///< Ended since the scenario last asked.
-	double due = 0;                               ///< Requests that are due.
-	uint64_t last = 0;                            ///< Number of the last request.
+	double requests_due = 0;                      ///< Requests that are due.
+	uint64_t last_request = 0;                    ///< Number of the last request.
 	bool active = true;                           ///< New requests are begun.
 };
 
--- a/tests/standins/clock_shift.cpp
+++ b/tests/standins/clock_shift.cpp
@@ -12,7 +12,7 @@
 static constexpr long NS_PER_S = 1000000000; ///< Nanoseconds in a second.
 
 /** @return By how many milliseconds the file that the variable \a name names shifts a clock. */
-static long Shift(const char *name)
+static long ReadShiftMs(const char *name)
 {
 	const char *path = getenv(name);
 	FILE *file = path == nullptr ? nullptr : fopen(path, "re");
@@ -33,8 +33,8 @@
 	static auto real = reinterpret_cast<Function>(dlsym(RTLD_NEXT, "clock_gettime"));
 	int result = real(clock, time);
 	if (result != 0 || (clock != CLOCK_REALTIME && clock != CLOCK_BOOTTIME)) return result;
-	long shift = Shift("COTTONSPOOL_TEST_SUSPENDED");
-	if (clock == CLOCK_REALTIME) shift += Shift("COTTONSPOOL_TEST_CLOCK");
+	long shift = ReadShiftMs("COTTONSPOOL_TEST_SUSPENDED");
+	if (clock == CLOCK_REALTIME) shift += ReadShiftMs("COTTONSPOOL_TEST_CLOCK");
 	time->tv_sec += shift / MS_PER_S;
 	time->tv_nsec += (shift % MS_PER_S) * NS_PER_MS;
 	if (time->tv_nsec < 0) {
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -41,7 +41,7 @@
 	this->reports.emplace_back(NowMs(), this->MakeReport());
 }
 
-uint64_t EngineStandin::Used() const
+uint64_t EngineStandin::UsedTokens() const
 {
 	uint64_t used = 0;
 	for (const GenerationPtr &generation : this->running) used += generation->prompt + generation->tokens.size();
@@ -56,12 +56,12 @@
 	return Json{{"sequence", ++this->report_sequence},
 	            {"incarnation", this->incarnation},
 	            {"capacity_tokens", FLAGS_memory_tokens},
-	            {"used_tokens", this->Used()},
+	            {"used_tokens", this->UsedTokens()},
 	            {"running", this->running.size()},
 	            {"waiting", this->waiting.size()},
 	            {"waiting_tokens", waiting_tokens},
 	            {"preemptions", this->preemptions},
-	            {"leaving", this->leaving},
+	            {"leaving", this->draining},
 	            {"role", this->role},
 	            {"models", this->models},
 	            {"prefixes", this->prefixes}};
@@ -86,13 +86,13 @@
 {
 	Json runs = this->record;
 	for (Json &run : runs) {
-		auto found = this->known.find(run["generation"].get<std::string>());
-		if (found == this->known.end()) continue;
+		auto found = this->known_generations.find(run["generation"].get<std::string>());
+		if (found == this->known_generations.end()) continue;
 		run["began"] = found->second->began;
 		run["tokens"] = found->second->tokens.size();
 	}
 	return Json{{"runs", runs},
-	            {"leaving_since", this->leaving_since},
+	            {"leaving_since", this->draining_since},
 	            {"preemptions", this->preemptions},
 	            {"now", NowMs()},
 	            {"orders", this->orders},
@@ -111,11 +111,12 @@
 
 void EngineStandin::HandleCompletion(const std::shared_ptr<HttpExchange> &exchange)
 {
-	Json body = Body(*exchange);
+	Json body = JsonBody(*exchange);
 	std::string id(FindHeader(exchange->request.headers, "Cottonspool-Generation"));
-	if (auto found = this->known.find(id); found != this->known.end()) return this->Attach(found->second, exchange, 0);
+	if (auto found = this->known_generations.find(id); found != this->known_generations.end())
+		return this->Attach(found->second, exchange, 0);
 	HttpHeaders not_run{{"Cottonspool-Ran", "no"}};
-	if (this->refused_ids.contains(id)) return Answer(exchange, 409, {{"error", "cancelled before"}}, not_run);
+	if (this->cancelled_ids.contains(id)) return Answer(exchange, 409, {{"error", "cancelled before"}}, not_run);
 	if (!this->models.contains(body.value("model", ""))) return Answer(exchange, 404, {{"error", "model not loaded"}}, not_run);
 	if (this->waiting.size() >= FLAGS_max_waiting) return Answer(exchange, 503, {{"error", "full"}}, not_run);
 	auto generation = std::make_shared<EngineGeneration>();
@@ -127,7 +128,7 @@
 	generation->prompt = std::max<uint64_t>(1, prompt.size() / 4);
 	generation->length = std::clamp<uint64_t>(NumberAfter(prompt, "tokens=", 16), 1, body.value("max_tokens", 1000000U));
 	generation->prefix = HashText(prompt.substr(0, 256));
-	this->known[id] = generation;
+	this->known_generations[id] = generation;
 	this->record.push_back(
 	        {{"generation", id}, {"request", generation->request}, {"at", NowMs()}, {"began", false}, {"model", body["model"]}});
 	auto place = std::find_if(this->waiting.begin(), this->waiting.end(),
@@ -138,10 +139,10 @@
 
 void EngineStandin::HandleGeneration(const std::shared_ptr<HttpExchange> &exchange, const std::string &id)
 {
-	auto found = this->known.find(id);
+	auto found = this->known_generations.find(id);
 	if (exchange->request.method == "DELETE") {
-		if (found == this->known.end()) {
-			this->refused_ids.insert(id);
+		if (found == this->known_generations.end()) {
+			this->cancelled_ids.insert(id);
 			return Answer(exchange, 200, {{"began", false}, {"incarnation", this->incarnation}});
 		}
 		GenerationPtr generation = found->second;
@@ -152,7 +153,7 @@
 		generation->listeners.clear();
 		return Answer(exchange, 200, {{"began", generation->began}, {"incarnation", this->incarnation}});
 	}
-	if (found == this->known.end() || found->second->cancelled) return Answer(exchange, 404, {{"error", "no such generation"}});
+	if (found == this->known_generations.end() || found->second->cancelled) return Answer(exchange, 404, {{"error", "no such generation"}});
 	std::string last(FindHeader(exchange->request.headers, "Last-Event-ID"));
 	this->Attach(found->second, exchange, strtoull(last.c_str(), nullptr, 10));
 }
@@ -203,7 +204,7 @@
 {
 	while (!this->waiting.empty() && this->running.size() < FLAGS_max_batch) {
 		GenerationPtr next = this->waiting.front();
-		if (this->Used() + next->prompt + next->tokens.size() + 1 > FLAGS_memory_tokens && !this->running.empty()) return;
+		if (this->UsedTokens() + next->prompt + next->tokens.size() + 1 > FLAGS_memory_tokens && !this->running.empty()) return;
 		this->waiting.pop_front();
 		next->began = true;
 		this->running.push_back(next);
@@ -215,7 +216,7 @@
 
 void EngineStandin::PreemptWhileFull()
 {
-	while (this->running.size() > 1 && this->Used() + this->running.size() > FLAGS_memory_tokens) {
+	while (this->running.size() > 1 && this->UsedTokens() + this->running.size() > FLAGS_memory_tokens) {
 		auto victim = this->running.begin();
 		for (auto it = this->running.begin(); it != this->running.end(); ++it) {
 			if ((*it)->priority <= (*victim)->priority) victim = it;
@@ -244,7 +245,7 @@
 
 void EngineStandin::DropOrphans()
 {
-	for (auto &[id, generation] : this->known) {
+	for (auto &[id, generation] : this->known_generations) {
 		if (generation->finished || generation->orphan_since == 0 || NowMs() - generation->orphan_since < FLAGS_orphan_ms) continue;
 		generation->cancelled = true;
 		this->running.remove(generation);
@@ -254,7 +255,7 @@
 
 void EngineStandin::HandleOrder(const std::shared_ptr<HttpExchange> &exchange)
 {
-	Json order = Body(*exchange);
+	Json order = JsonBody(*exchange);
 	uint64_t epoch = order.value("epoch", 0ULL);
 	if (FLAGS_check_fences && epoch < this->highest_epoch)
 		return Answer(exchange, 409, {{"error", "old fence"}, {"epoch", this->highest_epoch}});
@@ -268,12 +269,12 @@
 
 void EngineStandin::HandleControl(const std::shared_ptr<HttpExchange> &exchange)
 {
-	Json control = Body(*exchange);
+	Json control = JsonBody(*exchange);
 	this->slow_factor = control.value("slow_factor", this->slow_factor);
-	this->leaving = control.value("leaving", this->leaving);
-	if (this->leaving && this->leaving_since == 0) this->leaving_since = NowMs();
+	this->draining = control.value("leaving", this->draining);
+	if (this->draining && this->draining_since == 0) this->draining_since = NowMs();
 	if (control.value("drop_streams", false)) {
-		for (auto &[id, generation] : this->known) {
+		for (auto &[id, generation] : this->known_generations) {
 			auto listeners = std::move(generation->listeners);
 			generation->listeners.clear();
 			for (auto &[listener, sent] : listeners) listener->Finish();
--- a/tests/standins/engine_base.h
+++ b/tests/standins/engine_base.h
@@ -51,30 +51,30 @@
 	void AdmitWaiting();
 	void PreemptWhileFull();
 	void DropOrphans();
-	uint64_t Used() const;
+	uint64_t UsedTokens() const;
 	Json MakeReport();
 	Json Record() const;
 
-	uv_loop_t *loop;                              ///< Loop.
-	std::string incarnation;                      ///< Changes with each start.
-	std::map<std::string, GenerationPtr> known;   ///< Generations by name.
-	std::set<std::string> refused_ids;            ///< Cancelled before they came.
-	std::list<GenerationPtr> running;             ///< Being decoded.
-	std::deque<GenerationPtr> waiting;            ///< Accepted, not being decoded.
-	std::deque<std::pair<int64_t, Json>> reports; ///< Reports with the time they were made.
-	uint64_t report_sequence = 0;                 ///< Reports made.
-	uint64_t preemptions = 0;                     ///< Preemptions so far.
-	std::set<std::string> models;                 ///< Models loaded.
-	std::string role = "serve";                   ///< Role, set by orders.
-	uint64_t highest_epoch = 0;                   ///< Highest fence seen.
-	Json orders = Json::array();                  ///< Orders carried out.
-	std::deque<uint64_t> prefixes;                ///< Prefixes cached.
-	bool leaving = false;                         ///< Notice given.
-	int64_t leaving_since = 0;                    ///< When notice was given.
-	bool reports_frozen = false;                  ///< Reports no longer change.
-	double slow_factor = 1;                       ///< Factor on the time of a step.
-	int64_t next_step = 0;                        ///< When the next step is due.
-	Json record = Json::array();                  ///< Accepted generations with times.
+	uv_loop_t *loop;                                        ///< Loop.
+	std::string incarnation;                                ///< Changes with each start.
+	std::map<std::string, GenerationPtr> known_generations; ///< Generations by name.
+	std::set<std::string> cancelled_ids;                    ///< Cancelled before they came.
+	std::list<GenerationPtr> running;                       ///< Being decoded.
+	std::deque<GenerationPtr> waiting;                      ///< Accepted, not being decoded.
+	std::deque<std::pair<int64_t, Json>> reports;           ///< Reports with the time they were made.
+	uint64_t report_sequence = 0;                           ///< Reports made.
+	uint64_t preemptions = 0;                               ///< Preemptions so far.
+	std::set<std::string> models;                           ///< Models loaded.
+	std::string role = "serve";                             ///< Role, set by orders.
+	uint64_t highest_epoch = 0;                             ///< Highest fence seen.
+	Json orders = Json::array();                            ///< Orders carried out.
+	std::deque<uint64_t> prefixes;                          ///< Prefixes cached.
+	bool draining = false;                                  ///< Notice given.
+	int64_t draining_since = 0;                             ///< When notice was given.
+	bool reports_frozen = false;                            ///< Reports no longer change.
+	double slow_factor = 1;                                 ///< Factor on the time of a step.
+	int64_t next_step = 0;                                  ///< When the next step is due.
+	Json record = Json::array();                            ///< Accepted generations with times.
 };
 
 } // namespace cottonspool
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -65,7 +65,7 @@
 	if (verb == "service") return cottonspool::RunService(loop);
 	if (verb == "platform") return cottonspool::RunPlatform(loop);
 	if (verb == "relay") return cottonspool::RunRelay(loop);
-	if (verb == "world") return cottonspool::RunWorld(loop);
+	if (verb == "world") return cottonspool::RunPlatformSimulation(loop);
 	if (verb == "callers") return cottonspool::RunCallers(loop);
 	std::cerr << gflags::ProgramUsage() << std::endl;
 	return 2;
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -22,25 +22,25 @@
 	void Handle(const std::shared_ptr<HttpExchange> &exchange)
 	{
 		const HttpRequest &request = exchange->request;
-		if (request.path == "/control") return this->Control(exchange);
+		if (request.path == "/control") return this->HandleControl(exchange);
 		if (request.path == "/counters") return Answer(exchange, 200, {{"reads", this->reads}, {"writes", this->writes}});
 		if (this->down) {
-			this->held.push_back(exchange);
+			this->unanswered.push_back(exchange);
 			return;
 		}
-		After(this->loop, this->slow_ms, [this, exchange] { this->Act(exchange); });
+		After(this->loop, this->slow_ms, [this, exchange] { this->Execute(exchange); });
 	}
 
 private:
-	void Act(const std::shared_ptr<HttpExchange> &exchange)
+	void Execute(const std::shared_ptr<HttpExchange> &exchange)
 	{
 		const HttpRequest &request = exchange->request;
 		if (request.method == "GET") this->reads++;
 		if (request.method != "GET") this->writes++;
 		if (request.path == "/instances") return Answer(exchange, 200, this->instances);
 		if (request.path == "/table") return this->Scan(exchange);
-		if (request.path.starts_with("/table/")) return this->Row(exchange, this->table);
-		if (request.path.starts_with("/objects/")) return this->Row(exchange, this->objects);
+		if (request.path.starts_with("/table/")) return this->HandleRow(exchange, this->table);
+		if (request.path.starts_with("/objects/")) return this->HandleRow(exchange, this->objects);
 		Answer(exchange, 404, {{"error", "no such path"}});
 	}
 
@@ -56,7 +56,7 @@
 		Answer(exchange, 200, rows);
 	}
 
-	void Row(const std::shared_ptr<HttpExchange> &exchange, std::map<std::string, PlatformRow> &rows)
+	void HandleRow(const std::shared_ptr<HttpExchange> &exchange, std::map<std::string, PlatformRow> &rows)
 	{
 		const HttpRequest &request = exchange->request;
 		auto found = rows.find(request.path);
@@ -81,15 +81,15 @@
 	{
 		if (this->lose_answers > 0) {
 			this->lose_answers--;
-			this->held.push_back(exchange);
+			this->unanswered.push_back(exchange);
 			return;
 		}
 		exchange->Respond(status, {{"etag", etag}}, "{}");
 	}
 
-	void Control(const std::shared_ptr<HttpExchange> &exchange)
+	void HandleControl(const std::shared_ptr<HttpExchange> &exchange)
 	{
-		Json control = Body(*exchange);
+		Json control = JsonBody(*exchange);
 		this->down = control.value("down", this->down);
 		this->slow_ms = control.value("slow_ms", this->slow_ms);
 		this->lose_answers = control.value("lose_answers", this->lose_answers);
@@ -97,17 +97,17 @@
 		Answer(exchange, 200, {{"ok", true}});
 	}
 
-	uv_loop_t *loop;                                 ///< Loop.
-	std::map<std::string, PlatformRow> table;        ///< Rows by path.
-	std::map<std::string, PlatformRow> objects;      ///< Objects by path.
-	Json instances = Json::array();                  ///< Instance list, set by scenarios, as late as they like.
-	uint64_t version = 0;                            ///< Last version given out.
-	bool down = false;                               ///< Answers nothing.
-	uint64_t slow_ms = 0;                            ///< Delay of each answer.
-	int lose_answers = 0;                            ///< Writes still to be done without an answer.
-	uint64_t reads = 0;                              ///< Reads so far.
-	uint64_t writes = 0;                             ///< Writes so far.
-	std::vector<std::shared_ptr<HttpExchange>> held; ///< Requests that never get an answer.
+	uv_loop_t *loop;                                       ///< Loop.
+	std::map<std::string, PlatformRow> table;              ///< Rows by path.
+	std::map<std::string, PlatformRow> objects;            ///< Objects by path.
+	Json instances = Json::array();                        ///< Instance list, set by scenarios, as late as they like.
+	uint64_t version = 0;                                  ///< Last version given out.
+	bool down = false;                                     ///< Answers nothing.
+	uint64_t slow_ms = 0;                                  ///< Delay of each answer.
+	int lose_answers = 0;                                  ///< Writes still to be done without an answer.
+	uint64_t reads = 0;                                    ///< Reads so far.
+	uint64_t writes = 0;                                   ///< Writes so far.
+	std::vector<std::shared_ptr<HttpExchange>> unanswered; ///< Requests that never get an answer.
 };
 
 int RunPlatform(uv_loop_t *loop)
--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -30,21 +30,21 @@
 class Link;
 
 /** One relayed connection. */
-struct Relayed {
-	Link *link;            ///< Link that it runs over.
-	uv_tcp_t sides[SIDES]; ///< Caller's side and far side.
-	int open = SIDES;      ///< Sides not yet closed.
-	bool holed = false;    ///< Bytes were lost: TCP would never pass on what follows them.
-	bool closing = false;  ///< Being closed.
+struct RelayedConnection {
+	Link *link;              ///< Link that it runs over.
+	uv_tcp_t sides[SIDES];   ///< Caller's side and far side.
+	int open = SIDES;        ///< Sides not yet closed.
+	bool bytes_lost = false; ///< Bytes were lost: TCP would never pass on what follows them.
+	bool closing = false;    ///< Being closed.
 	std::deque<std::pair<int64_t, std::function<void()>>>
-	        waiting[SIDES];        ///< What has come from a side, each with the time at which it is passed on.
-	std::shared_ptr<bool> present; ///< False once it is being closed; delayed bytes hold it.
+	        waiting[SIDES];      ///< What has come from a side, each with the time at which it is passed on.
+	std::shared_ptr<bool> alive; ///< False once it is being closed; delayed bytes hold it.
 };
 
 /** One port that leads to one address. */
 class Link {
 public:
-	Link(uv_loop_t *loop, const sockaddr_in &far) : loop(loop), far(far) {}
+	Link(uv_loop_t *loop, const sockaddr_in &upstream) : loop(loop), upstream(upstream) {}
 
 	/** Listen on \a port; 0 takes a free one. @return The port; 0 if it cannot be had. */
 	int Listen(int port)
@@ -62,14 +62,14 @@
 	}
 
 	/** Treat all connections so from now on; what passes is late by \a delay_ms. */
-	void Set(LinkMode new_mode, int64_t delay_ms)
+	void SetMode(LinkMode new_mode, int64_t delay_ms)
 	{
 		this->mode = new_mode;
 		this->delay = delay_ms;
-		std::set<Relayed *> all = this->relayed;
-		for (Relayed *each : all) {
+		std::set<RelayedConnection *> all = this->relayed;
+		for (RelayedConnection *each : all) {
 			bool drops = this->mode == LinkMode::DropAnswers || this->mode == LinkMode::DropRequests;
-			bool ends = this->mode == LinkMode::Cut || this->mode == LinkMode::Reset || (each->holed && !drops);
+			bool ends = this->mode == LinkMode::Cut || this->mode == LinkMode::Reset || (each->bytes_lost && !drops);
 			if (ends) {
 				this->Close(each);
 			} else {
@@ -81,7 +81,7 @@
 private:
 	void Accept()
 	{
-		auto *each = new Relayed{.link = this, .sides = {}, .present = std::make_shared<bool>(true)};
+		auto *each = new RelayedConnection{.link = this, .sides = {}, .alive = std::make_shared<bool>(true)};
 		for (uv_tcp_t &side : each->sides) {
 			uv_tcp_init(this->loop, &side);
 			uv_tcp_nodelay(&side, 1);
@@ -92,15 +92,15 @@
 		if (this->mode == LinkMode::Cut || this->mode == LinkMode::Reset) return this->Close(each);
 		auto *connect = new uv_connect_t;
 		connect->data = each;
-		uv_tcp_connect(connect, &each->sides[1], reinterpret_cast<sockaddr *>(&this->far), [](uv_connect_t *done, int status) {
-			auto *connected = static_cast<Relayed *>(done->data);
+		uv_tcp_connect(connect, &each->sides[1], reinterpret_cast<sockaddr *>(&this->upstream), [](uv_connect_t *done, int status) {
+			auto *connected = static_cast<RelayedConnection *>(done->data);
 			if (status != 0 && !connected->closing) connected->link->Close(connected);
 			if (status == 0 && !connected->closing) connected->link->SetReading(connected);
 			delete done;
 		});
 	}
 
-	void SetReading(Relayed *each)
+	void SetReading(RelayedConnection *each)
 	{
 		if (!uv_is_writable(reinterpret_cast<uv_stream_t *>(&each->sides[1]))) return;
 		for (uv_tcp_t &side : each->sides) {
@@ -113,14 +113,14 @@
 		}
 	}
 
-	void Close(Relayed *each)
+	void Close(RelayedConnection *each)
 	{
 		if (each->closing) return;
 		each->closing = true;
-		*each->present = false;
+		*each->alive = false;
 		this->relayed.erase(each);
 		auto closed = [](uv_handle_t *handle) {
-			auto *gone = static_cast<Relayed *>(handle->data);
+			auto *gone = static_cast<RelayedConnection *>(handle->data);
 			if (--gone->open == 0) delete gone;
 		};
 		for (uv_tcp_t &side : each->sides) {
@@ -138,48 +138,48 @@
 
 	static void OnRead(uv_stream_t *from, ssize_t got, const uv_buf_t *buffer)
 	{
-		auto *each = static_cast<Relayed *>(from->data);
+		auto *each = static_cast<RelayedConnection *>(from->data);
 		int side = from == reinterpret_cast<uv_stream_t *>(&each->sides[1]) ? 1 : 0;
 		LinkMode mode = each->link->mode;
 		bool drop = (side == 1 && mode == LinkMode::DropAnswers) || (side == 0 && mode == LinkMode::DropRequests);
 		std::string bytes = got > 0 && !drop ? std::string(buffer->base, static_cast<size_t>(got)) : std::string();
 		free(buffer->base);
-		each->holed = each->holed || (got > 0 && drop);
-		if (got < 0) return each->link->End(each, side);
-		if (!bytes.empty()) each->link->Later(each, side, [each, side, bytes] { Write(each, 1 - side, bytes); });
+		each->bytes_lost = each->bytes_lost || (got > 0 && drop);
+		if (got < 0) return each->link->OnSideClosed(each, side);
+		if (!bytes.empty()) each->link->Delay(each, side, [each, side, bytes] { Write(each, 1 - side, bytes); });
 	}
 
 	/** A side has closed: the other one is closed behind the bytes that are still on their way. */
-	void End(Relayed *each, int side)
+	void OnSideClosed(RelayedConnection *each, int side)
 	{
-		this->Later(each, side, [this, each] { this->Close(each); });
+		this->Delay(each, side, [this, each] { this->Close(each); });
 	}
 
-	/** Call \a act after the link's delay, and always behind what came before it on that side: TCP never changes the order. */
-	void Later(Relayed *each, int side, std::function<void()> act)
+	/** Call \a action after the link's delay, and always behind what came before it on that side: TCP never changes the order. */
+	void Delay(RelayedConnection *each, int side, std::function<void()> action)
 	{
-		each->waiting[side].emplace_back(NowMs() + this->delay, std::move(act));
-		if (each->waiting[side].size() == 1) this->Pump(each, side);
+		each->waiting[side].emplace_back(NowMs() + this->delay, std::move(action));
+		if (each->waiting[side].size() == 1) this->RunDue(each, side);
 	}
 
 	/** Call what is due on \a side, in order. */
-	void Pump(Relayed *each, int side)
+	void RunDue(RelayedConnection *each, int side)
 	{
-		std::shared_ptr<bool> present = each->present;
-		while (*present && !each->waiting[side].empty()) {
+		std::shared_ptr<bool> alive = each->alive;
+		while (*alive && !each->waiting[side].empty()) {
 			int64_t left = each->waiting[side].front().first - NowMs();
 			if (left > 0) {
-				return After(this->loop, static_cast<uint64_t>(left), [this, each, side, present] {
-					if (*present) this->Pump(each, side);
+				return After(this->loop, static_cast<uint64_t>(left), [this, each, side, alive] {
+					if (*alive) this->RunDue(each, side);
 				});
 			}
-			std::function<void()> act = std::move(each->waiting[side].front().second);
-			act();
-			if (*present) each->waiting[side].pop_front();
+			std::function<void()> action = std::move(each->waiting[side].front().second);
+			action();
+			if (*alive) each->waiting[side].pop_front();
 		}
 	}
 
-	static void Write(Relayed *each, int side, const std::string &bytes)
+	static void Write(RelayedConnection *each, int side, const std::string &bytes)
 	{
 		auto *out = new std::string(bytes);
 		auto *write = new uv_write_t;
@@ -192,16 +192,16 @@
 		if (uv_write(write, reinterpret_cast<uv_stream_t *>(&each->sides[side]), &buffer, 1, done) != 0) done(write, 0);
 	}
 
-	uv_loop_t *loop;               ///< Loop.
-	sockaddr_in far;               ///< Address that it leads to.
-	uv_tcp_t listener{};           ///< Listening socket.
-	LinkMode mode{LinkMode::Pass}; ///< What becomes of bytes.
-	int64_t delay = 0;             ///< Time that they are late by, in milliseconds.
-	std::set<Relayed *> relayed;   ///< Connections.
+	uv_loop_t *loop;                       ///< Loop.
+	sockaddr_in upstream;                  ///< Address that it leads to.
+	uv_tcp_t listener{};                   ///< Listening socket.
+	LinkMode mode{LinkMode::Pass};         ///< What becomes of bytes.
+	int64_t delay = 0;                     ///< Time that they are late by, in milliseconds.
+	std::set<RelayedConnection *> relayed; ///< Connections.
 };
 
 /** @return The mode named \a name. */
-static LinkMode ModeNamed(const std::string &name)
+static LinkMode ParseLinkMode(const std::string &name)
 {
 	static const std::map<std::string, LinkMode> modes{{"stall", LinkMode::Stall},
 	                                                   {"cut", LinkMode::Cut},
@@ -218,20 +218,21 @@
 	int first = 0;
 	auto add = [&](const std::string &to, int port) {
 		size_t colon = to.find(':');
-		sockaddr_in far{};
-		if (colon == std::string::npos || uv_ip4_addr(to.substr(0, colon).c_str(), std::stoi(to.substr(colon + 1)), &far) != 0) return 0;
-		auto link = std::make_unique<Link>(loop, far);
+		sockaddr_in upstream{};
+		if (colon == std::string::npos || uv_ip4_addr(to.substr(0, colon).c_str(), std::stoi(to.substr(colon + 1)), &upstream) != 0)
+			return 0;
+		auto link = std::make_unique<Link>(loop, upstream);
 		int at = link->Listen(port);
 		if (at != 0) links[at] = std::move(link);
 		return at;
 	};
 	if (!FLAGS_to.empty() && (first = add(FLAGS_to, FLAGS_link_port)) == 0) return 1;
 	return Serve(loop, [&](const std::shared_ptr<HttpExchange> &exchange) {
-		Json order = Body(*exchange);
+		Json order = JsonBody(*exchange);
 		if (order.contains("to")) return Answer(exchange, 200, {{"port", add(order["to"], order.value("port", 0))}});
 		auto link = links.find(order.value("port", first));
 		if (link == links.end()) return Answer(exchange, 404, {});
-		link->second->Set(ModeNamed(order.value("mode", "pass")), order.value("delay_ms", 0));
+		link->second->SetMode(ParseLinkMode(order.value("mode", "pass")), order.value("delay_ms", 0));
 		Answer(exchange, 200, {{"ok", true}});
 	});
 }
--- a/tests/standins/service.cpp
+++ b/tests/standins/service.cpp
@@ -19,7 +19,7 @@
 	void Handle(const std::shared_ptr<HttpExchange> &exchange)
 	{
 		if (exchange->request.path == "/record")
-			return Answer(exchange, 200, {{"runs", this->runs}, {"leaving_since", this->leaving_since}});
+			return Answer(exchange, 200, {{"runs", this->runs}, {"leaving_since", this->draining_since}});
 		if (exchange->request.path == "/load") return Answer(exchange, 200, this->MakeReport());
 		if (exchange->request.path == "/control") return this->Control(exchange);
 		this->Run(exchange);
@@ -33,16 +33,16 @@
 		        {"capacity_tokens", FLAGS_slots},
 		        {"used_tokens", this->running},
 		        {"running", this->running},
-		        {"leaving", this->leaving},
+		        {"leaving", this->draining},
 		        {"age_ms", 0}};
 	}
 
 	void Control(const std::shared_ptr<HttpExchange> &exchange)
 	{
-		Json control = Body(*exchange);
-		this->leaving = control.value("leaving", this->leaving);
+		Json control = JsonBody(*exchange);
+		this->draining = control.value("leaving", this->draining);
 		this->delay_ms = control.value("delay_ms", this->delay_ms);
-		if (this->leaving && this->leaving_since == 0) this->leaving_since = NowMs();
+		if (this->draining && this->draining_since == 0) this->draining_since = NowMs();
 		Answer(exchange, 200, {{"ok", true}});
 	}
 
@@ -67,13 +67,13 @@
 		});
 	}
 
-	uv_loop_t *loop;           ///< Loop.
-	Json runs = Json::array(); ///< What was run.
-	uint64_t sequence = 0;     ///< Reports made.
-	uint64_t running = 0;      ///< Calls running.
-	uint64_t delay_ms = 0;     ///< Added to each run.
-	bool leaving = false;      ///< Notice given.
-	int64_t leaving_since = 0; ///< When notice was given.
+	uv_loop_t *loop;            ///< Loop.
+	Json runs = Json::array();  ///< What was run.
+	uint64_t sequence = 0;      ///< Reports made.
+	uint64_t running = 0;       ///< Calls running.
+	uint64_t delay_ms = 0;      ///< Added to each run.
+	bool draining = false;      ///< Notice given.
+	int64_t draining_since = 0; ///< When notice was given.
 };
 
 int RunService(uv_loop_t *loop)
--- a/tests/standins/simulated_store.cpp
+++ b/tests/standins/simulated_store.cpp
@@ -28,31 +28,31 @@
 	return bytes;
 }
 
-HttpHeaders WorldStore::Headers() const
+HttpHeaders SimulatedStore::Headers() const
 {
-	return {{"Content-Type", "application/json"}, {"Store-Era", std::to_string(this->era)}};
+	return {{"Content-Type", "application/json"}, {"Store-Era", std::to_string(this->epoch)}};
 }
 
-void WorldStore::Reply(const Exchange &exchange, int status, const Json &body) const
+void SimulatedStore::Reply(const Exchange &exchange, int status, const Json &body) const
 {
 	exchange->Respond(status, this->Headers(), body.dump());
 }
 
-void WorldStore::TakeCopy()
+void SimulatedStore::TakeBackup()
 {
-	this->copy = {this->tables, this->version};
+	this->backup = {this->tables, this->version};
 }
 
-void WorldStore::ReturnFromCopy()
+void SimulatedStore::RestoreBackup()
 {
 	for (const Waiting &each : this->waiting) each.exchange->Abort();
 	this->waiting.clear();
-	this->tables = this->copy.tables;
-	this->version = this->copy.version;
-	this->era++;
+	this->tables = this->backup.tables;
+	this->version = this->backup.version;
+	this->epoch++;
 }
 
-void WorldStore::WriteAgain(const std::string &table)
+void SimulatedStore::RewriteRows(const std::string &table)
 {
 	std::map<std::string, Row> newest = this->newest[table];
 	for (const auto &[key, row] : newest) {
@@ -63,22 +63,22 @@
 	}
 }
 
-void WorldStore::Put(const std::string &table, const std::string &key, const std::string &value)
+void SimulatedStore::Put(const std::string &table, const std::string &key, const std::string &value)
 {
 	this->tables[table][key] = this->newest[table][key] = {value, ++this->version, false};
-	this->WakeAll();
+	this->AnswerWaiting();
 }
 
-void WorldStore::Remove(const std::string &table, const std::string &key)
+void SimulatedStore::Remove(const std::string &table, const std::string &key)
 {
 	this->tables[table][key] = this->newest[table][key] = {"", ++this->version, true};
-	this->WakeAll();
+	this->AnswerWaiting();
 }
 
-std::string WorldStore::Shown(const std::string &value) const
+std::string SimulatedStore::WithAddressOverrides(const std::string &value) const
 {
 	std::string text = value;
-	for (const auto &[address, shown] : this->shown_as) {
+	for (const auto &[address, shown] : this->address_overrides) {
 		size_t at = text.find(address);
 		bool whole = at != std::string::npos && (at + address.size() == text.size() || isdigit(text[at + address.size()]) == 0);
 		if (whole) return text.replace(at, address.size(), shown);
@@ -86,7 +86,7 @@
 	return text;
 }
 
-Json WorldStore::RowsOf(const std::string &table, uint64_t since, bool with_deleted) const
+Json SimulatedStore::RowsOf(const std::string &table, uint64_t since, bool with_deleted) const
 {
 	Json rows = Json::array();
 	auto found = this->tables.find(table);
@@ -96,7 +96,7 @@
 		if (row.version <= since || (row.deleted && !with_deleted)) continue;
 		Json out{{"table", table}, {"part", ""}, {"tlsKey", key}, {"ver", row.version}};
 		if (row.deleted) out["deleted"] = true;
-		if (!row.deleted) out["value"] = Encode64(this->Shown(row.value));
+		if (!row.deleted) out["value"] = Encode64(this->WithAddressOverrides(row.value));
 		changed.emplace_back(with_deleted ? row.version : 0, std::move(out));
 	}
 	std::stable_sort(changed.begin(), changed.end(), [](const auto &a, const auto &b) { return a.first < b.first; });
@@ -104,13 +104,13 @@
 	return rows;
 }
 
-void WorldStore::Get(const Exchange &exchange, const std::string &query)
+void SimulatedStore::Get(const Exchange &exchange, const std::string &query)
 {
 	Json rows = this->RowsOf(std::string(QueryValue(query, "table")), 0, false);
 	this->Reply(exchange, 200, {{"rows", rows}, {"hasMore", false}, {"ver", this->version}, {"nowMs", NowMs()}});
 }
 
-void WorldStore::Feed(const Exchange &exchange, const std::string &query)
+void SimulatedStore::Feed(const Exchange &exchange, const std::string &query)
 {
 	if (this->mode == "compact") {
 		this->mode = "up";
@@ -120,13 +120,13 @@
 	if (since > this->version) return this->Reply(exchange, 410, Json::object());
 	int64_t wait = strtoll(QueryValue(query, "waitMs").c_str(), nullptr, 10);
 	this->waiting.push_back({exchange, std::string(QueryValue(query, "table")), since, NowMs() + wait});
-	this->WakeAll();
-	if (this->ticking) return;
-	this->ticking = true;
-	Every(this->loop, WAIT_TICK_MS, [this] { this->WakeAll(); });
+	this->AnswerWaiting();
+	if (this->timer_running) return;
+	this->timer_running = true;
+	Every(this->loop, WAIT_TICK_MS, [this] { this->AnswerWaiting(); });
 }
 
-void WorldStore::WakeAll()
+void SimulatedStore::AnswerWaiting()
 {
 	if (this->mode == "silent") return;
 	for (auto it = this->waiting.begin(); it != this->waiting.end();) {
@@ -141,7 +141,7 @@
 	}
 }
 
-void WorldStore::Transact(const Exchange &exchange)
+void SimulatedStore::Transact(const Exchange &exchange)
 {
 	Json body = Json::parse(exchange->body, nullptr, false);
 	for (const Json &row : body.value("setKeys", Json::array())) this->Put(row["table"], row["tlsKey"], Decode64(row["value"]));
@@ -150,7 +150,7 @@
 	this->Reply(exchange, 200, {{"ver", this->version}, {"nowMs", NowMs()}});
 }
 
-bool WorldStore::Handle(const Exchange &exchange)
+bool SimulatedStore::Handle(const Exchange &exchange)
 {
 	if (!exchange->head.target.starts_with("/-/rows-")) return false;
 	this->calls++;
@@ -164,7 +164,7 @@
 	return true;
 }
 
-void WorldStore::Answer(const Exchange &exchange)
+void SimulatedStore::Answer(const Exchange &exchange)
 {
 	const std::string &target = exchange->head.target;
 	std::string query = target.substr(std::min(target.size(), target.find('?') + 1));
--- a/tests/standins/simulation.cpp
+++ b/tests/standins/simulation.cpp
@@ -12,38 +12,38 @@
 
 namespace cottonspool {
 
-static constexpr uint64_t STEP_MS = 5;           ///< Time between looks at running generations.
-static constexpr int64_t NOTICE_MS = 1500;       ///< Time after a notice from which a new request is too late.
-static constexpr uint64_t COPY_MS = 40;          ///< Time that a copy of a run's memory takes.
-static constexpr uint64_t RESUME_MS = 80;        ///< Time until a run that was moved makes its next event.
-static constexpr uint64_t MEMORY_TOKENS = 40000; ///< Memory told in reports.
-static constexpr uint64_t CRASH_MS = 40;         ///< Time for which a target lives that has begun a request that ends it.
-static constexpr uint64_t BACK_MS = 1500;        ///< Time until it is back.
-static const char *const CRASHER = "crash";      ///< Body that such a request begins with.
+static constexpr uint64_t STEP_MS = 5;                ///< Time between looks at running generations.
+static constexpr int64_t NOTICE_MS = 1500;            ///< Time after a notice from which a new request is too late.
+static constexpr uint64_t KV_COPY_MS = 40;            ///< Time that a copy of a run's memory takes.
+static constexpr uint64_t RESUME_MS = 80;             ///< Time until a run that was moved makes its next event.
+static constexpr uint64_t MEMORY_TOKENS = 40000;      ///< Memory told in reports.
+static constexpr uint64_t CRASH_DELAY_MS = 40;        ///< Time for which a target lives that has begun a request that ends it.
+static constexpr uint64_t RESTART_DELAY_MS = 1500;    ///< Time until it is back.
+static const char *const CRASH_BODY_PREFIX = "crash"; ///< Body that such a request begins with.
 static const char *const HALLS[] = {"hall-a", "hall-b"};
 
-WorldTarget::WorldTarget(uv_loop_t *loop, WorldStore &store, WorldRecord &record, std::string id, std::string pool, std::string hall,
-                         bool engine)
+SimulatedTarget::SimulatedTarget(uv_loop_t *loop, SimulatedStore &store, SimulationRecord &record, std::string id, std::string pool,
+                                 std::string hall, bool engine)
     : id(std::move(id)), loop(loop), store(store), record(record), pool(std::move(pool)), hall(std::move(hall)), engine(engine)
 {
 }
 
-void WorldTarget::Start()
+void SimulatedTarget::Start()
 {
 	this->Listen();
 	if (this->engine) Every(this->loop, STEP_MS, [this] { this->Step(); });
 }
 
-void WorldTarget::Listen()
+void SimulatedTarget::Listen()
 {
-	this->born = WallMs();
-	this->leaving = this->says_leaving = false;
+	this->started_at = WallMs();
+	this->draining = this->drains_by_header = false;
 	this->front = std::make_unique<HttpFront>(this->loop, [this](const Exchange &exchange) { this->Handle(exchange); });
 	this->port = this->front->Listen({"127.0.0.1", this->port}).value();
-	this->Beat();
+	this->WriteHeartbeat();
 }
 
-void WorldTarget::Crash(uint64_t back_ms)
+void SimulatedTarget::Crash(uint64_t back_ms)
 {
 	if (!this->IsAlive()) return;
 	std::list<Run> ended = std::move(this->running);
@@ -53,51 +53,51 @@
 	After(this->loop, back_ms, [this] { this->Listen(); });
 }
 
-void WorldTarget::Hang()
+void SimulatedTarget::Hang()
 {
 	this->running.clear();
 	this->front->StopListening();
-	this->silent.push_back(std::move(this->front));
+	this->hung_fronts.push_back(std::move(this->front));
 	this->port = 0;
 	this->Listen();
 }
 
-void WorldTarget::CrashUnder(const std::string &attempt)
+void SimulatedTarget::CrashDuring(const std::string &attempt)
 {
-	After(this->loop, CRASH_MS, [this, attempt] {
+	After(this->loop, CRASH_DELAY_MS, [this, attempt] {
 		if (this->IsAlive()) this->record.crashes.push_back({{"request", attempt}, {"target", this->id}, {"at", NowMs()}});
-		this->Crash(BACK_MS);
+		this->Crash(RESTART_DELAY_MS);
 	});
 }
 
-void WorldTarget::Beat()
+void SimulatedTarget::WriteHeartbeat()
 {
 	Json row{{"service", this->pool},
 	         {"address", this->Address()},
 	         {"zone", this->hall},
 	         {"capacity", 64},
-	         {"state", this->leaving ? "draining" : "ready"},
+	         {"state", this->draining ? "draining" : "ready"},
 	         {"coldRemainingMs", this->cold_ms},
-	         {"born", this->born},
+	         {"born", this->started_at},
 	         {"sequence", ++this->answers}};
 	this->store.Put("servers", this->id, row.dump());
 }
 
-void WorldTarget::Leave(bool silently)
+void SimulatedTarget::StartDraining(bool silently)
 {
-	this->leaving = true;
-	this->left_at = NowMs();
+	this->draining = true;
+	this->drain_started_at = NowMs();
 	if (silently) this->store.Remove("servers", this->id);
-	if (!silently) this->Beat();
+	if (!silently) this->WriteHeartbeat();
 }
 
-void WorldTarget::SayLeaving()
+void SimulatedTarget::DrainByHeader()
 {
-	this->says_leaving = true;
-	this->left_at = 0;
+	this->drains_by_header = true;
+	this->drain_started_at = 0;
 }
 
-void WorldTarget::Kill()
+void SimulatedTarget::Kill()
 {
 	for (const Run &run : this->running) run.exchange->Abort();
 	this->running.clear();
@@ -105,28 +105,33 @@
 	this->store.Remove("servers", this->id);
 }
 
-void WorldTarget::Handle(const Exchange &exchange)
+void SimulatedTarget::Handle(const Exchange &exchange)
 {
 	const std::string &target = exchange->head.target;
 	if (target == "/-/report") {
 		this->record.reports++;
-		Json report{{"running", this->running.size()}, {"queued", 0},        {"kvUsed", 0},
-		            {"kvTotal", MEMORY_TOKENS},        {"born", this->born}, {"state", this->leaving ? "draining" : "ready"}};
+		Json report{{"running", this->running.size()},
+		            {"queued", 0},
+		            {"kvUsed", 0},
+		            {"kvTotal", MEMORY_TOKENS},
+		            {"born", this->started_at},
+		            {"state", this->draining ? "draining" : "ready"}};
 		return exchange->Respond(200, {}, report.dump());
 	}
-	if (target == "/-/kv-move") return this->Move(exchange);
+	if (target == "/-/kv-move") return this->MigrateRun(exchange);
 	std::string attempt(FindHeader(exchange->head.headers, "X-Attempt-Id"));
 	if (FindHeader(exchange->head.headers, "X-Expect-Instance") != this->id) return exchange->Respond(421, {}, {});
-	if ((this->leaving || this->says_leaving) && this->left_at != 0 && NowMs() - this->left_at > NOTICE_MS)
-		this->record.late.push_back({{"request", attempt}, {"target", this->id}, {"after_ms", NowMs() - this->left_at}, {"at", NowMs()}});
+	if ((this->draining || this->drains_by_header) && this->drain_started_at != 0 && NowMs() - this->drain_started_at > NOTICE_MS)
+		this->record.late.push_back(
+		        {{"request", attempt}, {"target", this->id}, {"after_ms", NowMs() - this->drain_started_at}, {"at", NowMs()}});
 	if (!this->limit.empty() || NowMs() < this->paused_until)
 		this->record.arrivals.push_back({{"target", this->id}, {"request", attempt}, {"at", NowMs()}});
-	if (this->TurnAway(exchange, attempt)) return;
+	if (this->RejectWhilePaused(exchange, attempt)) return;
 	if (this->engine) return this->Generate(exchange, attempt);
 	this->Serve(exchange, attempt);
 }
 
-bool WorldTarget::TurnAway(const Exchange &exchange, const std::string &attempt)
+bool SimulatedTarget::RejectWhilePaused(const Exchange &exchange, const std::string &attempt)
 {
 	if (this->pause_ms > 0) {
 		this->paused_until = NowMs() + this->pause_ms;
@@ -141,18 +146,18 @@
 	return true;
 }
 
-HttpHeaders WorldTarget::Headers(const std::string &attempt)
+HttpHeaders SimulatedTarget::Headers(const std::string &attempt)
 {
 	HttpHeaders headers{{"X-Attempt-Id", attempt}, {"X-Server-Stamp", "stamp"}};
 	if (!this->limit.empty()) headers.push_back({"Server-Limit", this->limit});
-	if (!this->says_leaving) return headers;
+	if (!this->drains_by_header) return headers;
 	headers.push_back({"Server-Leaving", "1"});
 	// Nobody could know before the first answer that says so.
-	if (this->left_at == 0) this->left_at = NowMs();
+	if (this->drain_started_at == 0) this->drain_started_at = NowMs();
 	return headers;
 }
 
-void WorldTarget::Serve(const Exchange &exchange, const std::string &attempt)
+void SimulatedTarget::Serve(const Exchange &exchange, const std::string &attempt)
 {
 	this->answers++;
 	this->record.runs.push_back({{"request", attempt},
@@ -162,9 +167,9 @@
 	HttpHeaders headers = this->Headers(attempt);
 	headers.push_back({"X-Server-Load", "1,0,6"});
 	std::string body = "answer to " + attempt;
-	bool fails = static_cast<double>(this->answers % 10) < this->fail_part * 10;
-	std::string how = this->garble;
-	if (exchange->body.starts_with(CRASHER)) return this->CrashUnder(attempt);
+	bool fails = static_cast<double>(this->answers % 10) < this->error_ratio * 10;
+	std::string how = this->corruption;
+	if (exchange->body.starts_with(CRASH_BODY_PREFIX)) return this->CrashDuring(attempt);
 	After(this->loop, 5, [exchange, headers, body, fails, how] {
 		if (how == "reset") {
 			exchange->Start(200, headers, body.size());
@@ -175,7 +180,7 @@
 	});
 }
 
-void WorldTarget::Generate(const Exchange &exchange, const std::string &attempt)
+void SimulatedTarget::Generate(const Exchange &exchange, const std::string &attempt)
 {
 	std::string tokens(FindHeader(exchange->head.headers, "X-Token-Count"));
 	std::string from(FindHeader(exchange->head.headers, "Kv-From"));
@@ -197,12 +202,12 @@
 	});
 }
 
-void WorldTarget::Begin(Run run)
+void SimulatedTarget::Begin(Run run)
 {
 	std::string attempt = run.attempt;
 	int64_t begun = NowMs();
-	if (run.exchange->body.starts_with(CRASHER)) this->CrashUnder(attempt);
-	run.exchange->on_gone = [this, attempt, begun] {
+	if (run.exchange->body.starts_with(CRASH_BODY_PREFIX)) this->CrashDuring(attempt);
+	run.exchange->on_disconnect = [this, attempt, begun] {
 		auto resumed = this->record.resumed_at.find(attempt);
 		if (resumed != this->record.resumed_at.end() && begun < resumed->second) this->record.overlaps.push_back(NowMs() - resumed->second);
 		this->running.remove_if([&](const Run &each) { return each.attempt == attempt; });
@@ -213,7 +218,7 @@
 	this->running.push_back(std::move(run));
 }
 
-void WorldTarget::Step()
+void SimulatedTarget::Step()
 {
 	for (auto it = this->running.begin(); it != this->running.end();) {
 		Run &run = *it;
@@ -228,19 +233,19 @@
 		Exchange done = run.made >= run.length ? run.exchange : nullptr;
 		it = done ? this->running.erase(it) : std::next(it);
 		if (!done) continue;
-		done->on_gone = nullptr;
+		done->on_disconnect = nullptr;
 		done->Finish();
 	}
 }
 
-void WorldTarget::Move(const Exchange &exchange)
+void SimulatedTarget::MigrateRun(const Exchange &exchange)
 {
 	Json body = Json::parse(exchange->body, nullptr, false);
 	std::string attempt = body.value("id", "");
 	auto found = std::find_if(this->running.begin(), this->running.end(), [&](const Run &run) { return run.attempt == attempt; });
 	if (found == this->running.end() || found->made == 0) return exchange->Respond(404, {}, {});
 	uint64_t made = found->made;
-	After(this->loop, COPY_MS, [this, exchange, attempt, made] {
+	After(this->loop, KV_COPY_MS, [this, exchange, attempt, made] {
 		std::string handle = "copy-" + std::to_string(this->record.next_handle++);
 		this->record.copies[handle] = {attempt, made};
 		exchange->Respond(200, {}, Json{{"handle", handle}, {"createdRev", made}}.dump());
@@ -248,92 +253,96 @@
 }
 
 /** The whole world: store, targets, and their control. */
-class World {
+class PlatformSimulation {
 public:
-	explicit World(uv_loop_t *loop) : loop(loop), store(loop), front(loop, [this](const Exchange &exchange) { this->Handle(exchange); }) {}
+	explicit PlatformSimulation(uv_loop_t *loop)
+	    : loop(loop), store(loop), front(loop, [this](const Exchange &exchange) { this->Handle(exchange); })
+	{
+	}
 
 	/** Start everything. */
 	void Start()
 	{
-		for (int i = 0; i < FLAGS_engines; i++) this->Add("engine-" + std::to_string(i), "engines", HALLS[i % 2], true);
-		for (int i = 0; i < FLAGS_services; i++) this->Add("service-" + std::to_string(i), "services", HALLS[i % 2], false);
+		for (int i = 0; i < FLAGS_engines; i++) this->AddTarget("engine-" + std::to_string(i), "engines", HALLS[i % 2], true);
+		for (int i = 0; i < FLAGS_services; i++) this->AddTarget("service-" + std::to_string(i), "services", HALLS[i % 2], false);
 		std::cout << "listening port=" << this->front.Listen({"127.0.0.1", 0}).value() << std::endl;
 	}
 
 private:
-	void Add(const std::string &id, const std::string &pool, const std::string &hall, bool engine)
+	void AddTarget(const std::string &id, const std::string &pool, const std::string &hall, bool engine)
 	{
-		auto &target = this->targets[id] = std::make_unique<WorldTarget>(this->loop, this->store, this->record, id, pool, hall, engine);
+		auto &target = this->targets[id] = std::make_unique<SimulatedTarget>(this->loop, this->store, this->record, id, pool, hall, engine);
 		target->Start();
 	}
 
 	void Handle(const Exchange &exchange)
 	{
 		if (exchange->head.target == "/record") {
-			Json told{{"runs", this->record.runs},       {"late", this->record.late},         {"overlaps", this->record.overlaps},
-			          {"crashes", this->record.crashes}, {"arrivals", this->record.arrivals}, {"pauses", this->record.pauses},
-			          {"limits", this->record.limits},   {"reports", this->record.reports},   {"store_calls", this->store.calls}};
-			for (const auto &[id, target] : this->targets) told["targets"][id] = target->Address();
-			return exchange->Respond(200, {}, told.dump());
+			Json answer{{"runs", this->record.runs},       {"late", this->record.late},         {"overlaps", this->record.overlaps},
+			            {"crashes", this->record.crashes}, {"arrivals", this->record.arrivals}, {"pauses", this->record.pauses},
+			            {"limits", this->record.limits},   {"reports", this->record.reports},   {"store_calls", this->store.calls}};
+			for (const auto &[id, target] : this->targets) answer["targets"][id] = target->Address();
+			return exchange->Respond(200, {}, answer.dump());
 		}
-		if (exchange->head.target == "/control") return this->Control(exchange);
+		if (exchange->head.target == "/control") return this->HandleControl(exchange);
 		if (!this->store.Handle(exchange)) exchange->Respond(404, {}, {});
 	}
 
-	void Control(const Exchange &exchange)
+	void HandleControl(const Exchange &exchange)
 	{
 		Json control = Json::parse(exchange->body, nullptr, false);
 		std::string id = control.value("target", "");
-		std::string act = control.value("do", "");
-		if (act == "copy") this->store.TakeCopy();
-		if (act == "return") this->store.ReturnFromCopy();
-		if (control.contains("again")) this->store.WriteAgain(control["again"]);
+		std::string action = control.value("do", "");
+		if (action == "copy") this->store.TakeBackup();
+		if (action == "return") this->store.RestoreBackup();
+		if (control.contains("again")) this->store.RewriteRows(control["again"]);
 		if (control.contains("config")) this->store.Put("op", "config", control["config"].dump());
 		if (control.contains("store")) this->store.mode = control["store"];
 		if (control.contains("put")) this->store.Put("op", control["put"], "{}");
 		if (control.contains("drop")) this->store.Remove("op", control["drop"]);
 		this->store.slow_ms = control.value("slow_ms", this->store.slow_ms);
-		if (control.contains("shown_as")) this->store.shown_as = control["shown_as"].get<std::map<std::string, std::string>>();
-		if (act == "leave") this->targets.at(id)->Leave(false);
-		if (act == "vanish") this->targets.at(id)->Leave(true);
-		if (act == "kill") this->targets.at(id)->Kill();
-		if (act == "hang") this->targets.at(id)->Hang();
-		if (act == "crash") this->targets.at(id)->Crash(control.value("back_ms", BACK_MS));
-		if (act == "add")
-			this->Add(id, control.value("pool", "engines"), HALLS[this->targets.size() % 2], control.value("pool", "engines") == "engines");
-		if (act == "lapse") {
+		if (control.contains("shown_as")) this->store.address_overrides = control["shown_as"].get<std::map<std::string, std::string>>();
+		if (action == "leave") this->targets.at(id)->StartDraining(false);
+		if (action == "vanish") this->targets.at(id)->StartDraining(true);
+		if (action == "kill") this->targets.at(id)->Kill();
+		if (action == "hang") this->targets.at(id)->Hang();
+		if (action == "crash") this->targets.at(id)->Crash(control.value("back_ms", RESTART_DELAY_MS));
+		if (action == "add")
+			this->AddTarget(id, control.value("pool", "engines"), HALLS[this->targets.size() % 2],
+			                control.value("pool", "engines") == "engines");
+		if (action == "lapse") {
 			for (const auto &[name, target] : this->targets) this->store.Remove("servers", name);
 		}
-		if (act == "beat") {
+		if (action == "beat") {
 			for (const auto &[name, target] : this->targets) {
-				if (target->IsAlive()) target->Beat();
+				if (target->IsAlive()) target->WriteHeartbeat();
 			}
 		}
-		if (act == "cold") {
+		if (action == "cold") {
 			this->targets.at(id)->cold_ms = control.value("ms", 0);
-			this->targets.at(id)->Beat();
+			this->targets.at(id)->WriteHeartbeat();
 		}
-		if (act == "limit") {
+		if (action == "limit") {
 			std::string limit = this->targets.at(id)->limit = control.value("per_s", "");
 			this->record.limits.push_back({{"target", id}, {"per_s", strtod(limit.c_str(), nullptr)}, {"at", NowMs()}});
 		}
-		if (act == "say-leaving") this->targets.at(id)->SayLeaving();
-		if (act == "pause") this->targets.at(id)->pause_ms = control.value("ms", 0);
-		if (act == "fail") this->targets.at(id)->fail_part = control.value("part", 0.0);
-		if (act == "garble") this->targets.at(id)->garble = control.value("how", "");
+		if (action == "say-leaving") this->targets.at(id)->DrainByHeader();
+		if (action == "pause") this->targets.at(id)->pause_ms = control.value("ms", 0);
+		if (action == "fail") this->targets.at(id)->error_ratio = control.value("part", 0.0);
+		if (action == "garble") this->targets.at(id)->corruption = control.value("how", "");
 		exchange->Respond(200, {}, "{}");
 	}
 
-	uv_loop_t *loop;                                             ///< Loop.
-	WorldStore store;                                            ///< Store.
-	WorldRecord record;                                          ///< What ran.
-	std::map<std::string, std::unique_ptr<WorldTarget>> targets; ///< Targets by name.
-	HttpFront front;                                             ///< Store and control.
+	uv_loop_t *loop;                                                 ///< Loop.
+	SimulatedStore store;                                            ///< Store.
+	SimulationRecord record;                                         ///< What ran.
+	std::map<std::string, std::unique_ptr<SimulatedTarget>> targets; ///< Targets by name.
+	HttpFront front;                                                 ///< Store and control.
 };
 
-int RunWorld(uv_loop_t *loop)
+int RunPlatformSimulation(uv_loop_t *loop)
 {
-	World world(loop);
+	PlatformSimulation world(loop);
 	world.Start();
 	return uv_run(loop, UV_RUN_DEFAULT);
 }
--- a/tests/standins/simulation_base.h
+++ b/tests/standins/simulation_base.h
@@ -14,9 +14,9 @@
 using Exchange = std::shared_ptr<FrontExchange>;
 
 /** The platform's store: rows with versions, a feed that waits, and outages. */
-class WorldStore {
+class SimulatedStore {
 public:
-	explicit WorldStore(uv_loop_t *loop) : loop(loop) {}
+	explicit SimulatedStore(uv_loop_t *loop) : loop(loop) {}
 
 	/** Write a row as the operator or a target does. */
 	void Put(const std::string &table, const std::string &key, const std::string &value);
@@ -28,19 +28,19 @@
 	bool Handle(const Exchange &exchange);
 
 	/** Keep a copy of all rows as they are now. */
-	void TakeCopy();
+	void TakeBackup();
 
 	/** Come back from the copy: what was written since is gone, and its versions are given out again. Calls that wait are reset. */
-	void ReturnFromCopy();
+	void RestoreBackup();
 
 	/** Write the rows of \a table again as they were written last, those that are not there as they were. */
-	void WriteAgain(const std::string &table);
+	void RewriteRows(const std::string &table);
 
 	std::string mode = "up"; ///< "up", "busy" (503), "silent" (no answer), "away" (reset), "compact" (history gone, once) or "lose" (writes
 	                         ///< done, not answered).
 	int64_t slow_ms = 0;     ///< Time by which answers are late, in milliseconds.
-	std::map<std::string, std::string> shown_as; ///< Addresses that rows show in place of others: those of links.
-	uint64_t calls = 0;                          ///< Calls answered or turned away.
+	std::map<std::string, std::string> address_overrides; ///< Addresses that rows show in place of others: those of links.
+	uint64_t calls = 0;                                   ///< Calls answered or turned away.
 
 private:
 	/** One row with its history. */
@@ -61,7 +61,7 @@
 	using Tables = std::map<std::string, std::map<std::string, Row>>;
 
 	/** What a store comes back with. */
-	struct Copy {
+	struct Backup {
 		Tables tables;        ///< Rows.
 		uint64_t version = 0; ///< Counter.
 	};
@@ -69,25 +69,25 @@
 	void Reply(const Exchange &exchange, int status, const Json &body) const;
 	HttpHeaders Headers() const;
 	Json RowsOf(const std::string &table, uint64_t since, bool with_deleted) const;
-	std::string Shown(const std::string &value) const;
+	std::string WithAddressOverrides(const std::string &value) const;
 	void Answer(const Exchange &exchange);
 	void Get(const Exchange &exchange, const std::string &query);
 	void Feed(const Exchange &exchange, const std::string &query);
 	void Transact(const Exchange &exchange);
-	void WakeAll();
+	void AnswerWaiting();
 
 	uv_loop_t *loop;            ///< Loop.
 	Tables tables;              ///< Rows by table and key.
 	uint64_t version = 0;       ///< Counter of the whole store.
-	uint64_t era = 1;           ///< Rises with each return from a copy.
-	Copy copy;                  ///< Copy taken last.
+	uint64_t epoch = 1;         ///< Rises with each return from a copy.
+	Backup backup;              ///< Copy taken last.
 	Tables newest;              ///< Rows as they were written last, also if the store has lost them.
 	std::list<Waiting> waiting; ///< Feed calls that wait.
-	bool ticking = false;       ///< The timer of waiting calls runs.
+	bool timer_running = false; ///< The timer of waiting calls runs.
 };
 
 /** What the targets of one world share. */
-struct WorldRecord {
+struct SimulationRecord {
 	Json runs = Json::array();                                      ///< Runs: request, target, resumed.
 	Json late = Json::array();                                      ///< Requests that came long after the notice.
 	std::map<std::string, std::pair<std::string, uint64_t>> copies; ///< Copies by handle: request and events made.
@@ -102,9 +102,10 @@
 };
 
 /** One engine or service. */
-class WorldTarget {
+class SimulatedTarget {
 public:
-	WorldTarget(uv_loop_t *loop, WorldStore &store, WorldRecord &record, std::string id, std::string pool, std::string hall, bool engine);
+	SimulatedTarget(uv_loop_t *loop, SimulatedStore &store, SimulationRecord &record, std::string id, std::string pool, std::string hall,
+	                bool engine);
 
 	/** Listen and enter the list. */
 	void Start();
@@ -116,10 +117,10 @@
 	bool IsAlive() const { return this->front != nullptr; }
 
 	/** Say that it leaves; \a silently only removes its row. */
-	void Leave(bool silently);
+	void StartDraining(bool silently);
 
 	/** Say with its answers that it leaves, and nowhere else. */
-	void SayLeaving();
+	void DrainByHeader();
 
 	/** End at once: every connection is reset. */
 	void Kill();
@@ -131,14 +132,14 @@
 	void Hang();
 
 	/** Write the row again, as a heartbeat does. */
-	void Beat();
+	void WriteHeartbeat();
 
-	std::string id;       ///< Name of its incarnation.
-	int64_t cold_ms = 0;  ///< How much longer it says that it is cold, in milliseconds.
-	double fail_part = 0; ///< Part of the answers that are 500.
-	std::string garble;   ///< "reset", "extra" or empty.
-	std::string limit;    ///< Limit that it names with its answers; empty for none.
-	int64_t pause_ms = 0; ///< Pause that it asks for, once, with a refusal, in milliseconds; zero for none.
+	std::string id;         ///< Name of its incarnation.
+	int64_t cold_ms = 0;    ///< How much longer it says that it is cold, in milliseconds.
+	double error_ratio = 0; ///< Part of the answers that are 500.
+	std::string corruption; ///< "reset", "extra" or empty.
+	std::string limit;      ///< Limit that it names with its answers; empty for none.
+	int64_t pause_ms = 0;   ///< Pause that it asks for, once, with a refusal, in milliseconds; zero for none.
 
 private:
 	/** One generation. */
@@ -151,32 +152,32 @@
 	};
 
 	void Listen();
-	void CrashUnder(const std::string &attempt);
+	void CrashDuring(const std::string &attempt);
 	void Handle(const Exchange &exchange);
 	void Generate(const Exchange &exchange, const std::string &attempt);
 	void Begin(Run run);
 	void Serve(const Exchange &exchange, const std::string &attempt);
 	HttpHeaders Headers(const std::string &attempt);
-	bool TurnAway(const Exchange &exchange, const std::string &attempt);
-	void Move(const Exchange &exchange);
+	bool RejectWhilePaused(const Exchange &exchange, const std::string &attempt);
+	void MigrateRun(const Exchange &exchange);
 	void Step();
 
-	uv_loop_t *loop;                                ///< Loop.
-	WorldStore &store;                              ///< Store.
-	WorldRecord &record;                            ///< Record.
-	std::string pool;                               ///< Pool.
-	std::string hall;                               ///< Data hall.
-	bool engine;                                    ///< Streams.
-	std::unique_ptr<HttpFront> front;               ///< Listener.
-	std::vector<std::unique_ptr<HttpFront>> silent; ///< Listeners of former lives whose connections stay open.
-	uint16_t port = 0;                              ///< Port.
-	std::list<Run> running;                         ///< Generations.
-	bool leaving = false;                           ///< Said that it leaves.
-	bool says_leaving = false;                      ///< Says so with its answers, and nowhere else.
-	int64_t left_at = 0;                            ///< When.
-	int64_t paused_until = 0;                       ///< It wants nothing before.
-	uint64_t answers = 0;                           ///< Answers given.
-	int64_t born = 0;                               ///< When this life began.
+	uv_loop_t *loop;                                     ///< Loop.
+	SimulatedStore &store;                               ///< Store.
+	SimulationRecord &record;                            ///< Record.
+	std::string pool;                                    ///< Pool.
+	std::string hall;                                    ///< Data hall.
+	bool engine;                                         ///< Streams.
+	std::unique_ptr<HttpFront> front;                    ///< Listener.
+	std::vector<std::unique_ptr<HttpFront>> hung_fronts; ///< Listeners of former lives whose connections stay open.
+	uint16_t port = 0;                                   ///< Port.
+	std::list<Run> running;                              ///< Generations.
+	bool draining = false;                               ///< Said that it leaves.
+	bool drains_by_header = false;                       ///< Says so with its answers, and nowhere else.
+	int64_t drain_started_at = 0;                        ///< When.
+	int64_t paused_until = 0;                            ///< It wants nothing before.
+	uint64_t answers = 0;                                ///< Answers given.
+	int64_t started_at = 0;                              ///< When this life began.
 };
 
 } // namespace cottonspool
--- a/tests/standins/standin_func.h
+++ b/tests/standins/standin_func.h
@@ -20,7 +20,7 @@
 }
 
 /** @return The body as JSON, an empty object when it is none. */
-inline Json Body(const HttpExchange &exchange)
+inline Json JsonBody(const HttpExchange &exchange)
 {
 	Json body = Json::parse(exchange.request.body, nullptr, false);
 	return body.is_object() ? body : Json::object();
@@ -45,12 +45,12 @@
 /** Call \a run once after \a delay_ms on \a loop. */
 void After(uv_loop_t *loop, uint64_t delay_ms, std::function<void()> run);
 
-int RunEngine(uv_loop_t *loop);   ///< Model engine: continuous batching in limited memory.
-int RunService(uv_loop_t *loop);  ///< Plain service.
-int RunPlatform(uv_loop_t *loop); ///< Table service, object store and instance list.
-int RunRelay(uv_loop_t *loop);    ///< Links that can be cut, reset, silenced and delayed.
-int RunWorld(uv_loop_t *loop);    ///< The users' platform in small: its store, engines and services.
-int RunCallers(uv_loop_t *loop);  ///< Callers on the users' platform who check what they get.
+int RunEngine(uv_loop_t *loop);             ///< Model engine: continuous batching in limited memory.
+int RunService(uv_loop_t *loop);            ///< Plain service.
+int RunPlatform(uv_loop_t *loop);           ///< Table service, object store and instance list.
+int RunRelay(uv_loop_t *loop);              ///< Links that can be cut, reset, silenced and delayed.
+int RunPlatformSimulation(uv_loop_t *loop); ///< The users' platform in small: its store, engines and services.
+int RunCallers(uv_loop_t *loop);            ///< Callers on the users' platform who check what they get.
 
 /** Serve \a handler at --ip and --port until the process is killed. @return Exit code. */
 int Serve(uv_loop_t *loop, HttpServer::Handler handler);
