--- a/src/configuration/configuration_state.cpp
+++ b/src/configuration/configuration_state.cpp
@@ -107,9 +107,9 @@
 		return halls.dump();
 	});
 	WriteRecords(document, "policy", this->policies, [](const PolicyRecord &policy) { return Json{{"program", policy.program}}.dump(); });
-	Json remembered = Json::array();
-	for (const AcceptedChange &change : this->accepted) remembered.push_back({change.id, change.author, change.sequence});
-	document["accepted"] = std::move(remembered);
+	Json accepted_changes = Json::array();
+	for (const AcceptedChange &change : this->accepted) accepted_changes.push_back({change.id, change.author, change.sequence});
+	document["accepted"] = std::move(accepted_changes);
 	Json removed_records = Json::array();
 	for (const auto &[key, entry_sequence] : this->removed)
 		removed_records.push_back({static_cast<int>(key.first), key.second, entry_sequence});
--- a/src/decision/limit_leases.cpp
+++ b/src/decision/limit_leases.cpp
@@ -77,7 +77,7 @@
 	Lease &lease = found->second;
 	auto request = lease.pending.find(number);
 	if (request == lease.pending.end() || number < lease.last_answered) return;
-	// The owner granted the lease after the request was sent, so counting from the request ends it earlier here than there.
+	// The lease counts from the request, so it ends here before it ends at the owner, who granted it later.
 	lease = {granted, request->second + LEASE_TERM, number, lease.number, lease.last_requested, std::move(lease.pending)};
 	std::erase_if(lease.pending, [&](const auto &entry) { return entry.first <= number; });
 }
--- a/src/decision/membership.cpp
+++ b/src/decision/membership.cpp
@@ -35,8 +35,8 @@
 std::vector<MemberInfo> Membership::NextGossip(size_t count)
 {
 	std::vector<MemberInfo> gossip{this->self};
-	size_t others = this->members.size() <= MAX_FULL_MESH ? count / 2 : 1;
-	this->AddGossip(count - others, true, &this->last_sent_local, &gossip);
+	size_t remote_count = this->members.size() <= MAX_FULL_MESH ? count / 2 : 1;
+	this->AddGossip(count - remote_count, true, &this->last_sent_local, &gossip);
 	this->AddGossip(count + 1 - gossip.size(), false, &this->last_sent_remote, &gossip);
 	return gossip;
 }
@@ -92,8 +92,8 @@
 
 void Membership::SetGossipPace(Duration period, size_t links, size_t gossip)
 {
-	double told = static_cast<double>(std::max<size_t>(1, links * gossip));
-	double rounds = 1 + static_cast<double>(this->HallSize()) / told;
+	double sent_per_round = static_cast<double>(std::max<size_t>(1, links * gossip));
+	double rounds = 1 + static_cast<double>(this->HallSize()) / sent_per_round;
 	this->gossip_timeout = FromSeconds(Seconds(period) * TIMEOUT_ROUNDS * rounds);
 }
 
--- a/src/decision/placement_table.h
+++ b/src/decision/placement_table.h
@@ -43,8 +43,8 @@
 
 	/**
 	 * @param account Client account of the request; null for none.
-	 * @return Halls in which a request of \a route and \a account may run, this instance's hall first: those in the home regions of both,
-	 * where no home regions allow every region.
+	 * @return Halls in which a request of \a route and \a account may run, this instance's hall first: those in the home regions of both.
+	 * An empty list of home regions allows all regions.
 	 */
 	std::vector<HallPreference> HallsFor(const Route &route, const ClientAccount *account) const;
 
--- a/src/policy/policy_engine.cpp
+++ b/src/policy/policy_engine.cpp
@@ -113,7 +113,7 @@
 	lua_pushlstring(loaded, program.data(), program.size());
 	if (lua_pcall(loaded, 1, 0, 0) != LUA_OK) {
 		const char *message = lua_tostring(loaded, -1);
-		Error error{Step::Policy, "policy", message == nullptr ? "unknown Lua error" : message};
+		Error error{Step::Policy, "policy", message == nullptr ? "failed" : message};
 		CloseProgram(loaded);
 		return error;
 	}
@@ -141,7 +141,7 @@
 	lua_sethook(this->lua, OnBudgetExceeded, LUA_MASKCOUNT, this->limits.instructions);
 	if (lua_pcall(this->lua, arguments, 1, 0) == LUA_OK) return true;
 	const char *message = lua_tostring(this->lua, -1);
-	this->last_error = message == nullptr ? "unknown Lua error" : message;
+	this->last_error = message == nullptr ? "failed" : message;
 	this->counters.fallbacks++;
 	lua_settop(this->lua, 0);
 	return false;
--- a/src/tests/cell_division_test.cpp
+++ b/src/tests/cell_division_test.cpp
@@ -166,8 +166,8 @@
 		}
 		for (const TargetRow &row : targets) {
 			std::string pool_and_hall = row.target->pool + row.target->hall;
-			auto [least, added] = min_targets.try_emplace(pool_and_hall, known[pool_and_hall]);
-			least->second = std::min(least->second, known[pool_and_hall]);
+			auto [min_count, added] = min_targets.try_emplace(pool_and_hall, known[pool_and_hall]);
+			min_count->second = std::min(min_count->second, known[pool_and_hall]);
 		}
 		CHECK(cell.ShareOf("rare", HallName(1), CELLS) == doctest::Approx(1.0 / CELLS));
 		CHECK(cell.ShareOf("engines", HallName(1), CELLS) == doctest::Approx(1));
--- a/src/tests/hall_load_test.cpp
+++ b/src/tests/hall_load_test.cpp
@@ -51,10 +51,10 @@
 	/** Handles the load summary of another hall as an instance does. */
 	void Receive(const HallLoadMessage &message, TimePoint now)
 	{
-		for (const ReportUpdate &news : this->load.OnMessage(message, now)) {
-			LoadReport report = news.report;
+		for (const ReportUpdate &update : this->load.OnMessage(message, now)) {
+			LoadReport report = update.report;
 			report.sequence = ++this->reports;
-			this->dispatcher.OnReport(*this->dispatcher.Targets().Find(news.target), report, now);
+			this->dispatcher.OnReport(*this->dispatcher.Targets().Find(update.target), report, now);
 		}
 	}
 
@@ -177,14 +177,14 @@
 		}
 		exchange(1);
 		for (const char *name : ENGINES) {
-			double held = 0;
+			double expected = 0;
 			for (auto &instance : instances) {
 				const TargetTable &targets = instance->dispatcher.Targets();
-				held += targets.Get(*targets.Find(name)).known_tokens;
+				expected += targets.Get(*targets.Find(name)).known_tokens;
 			}
 			for (auto &instance : instances) {
 				const TargetTable &targets = instance->dispatcher.Targets();
-				RC_ASSERT(targets.TotalLoadAt(targets.Get(*targets.Find(name)), now).tokens == held);
+				RC_ASSERT(targets.TotalLoadAt(targets.Get(*targets.Find(name)), now).tokens == expected);
 			}
 		}
 	});
--- a/src/tests/limit_leases_test.cpp
+++ b/src/tests/limit_leases_test.cpp
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 /**
- * @param[out] most Maximum number of requests in four seconds.
+ * @param[out] max_requests Maximum number of requests in four seconds.
  * @return Used fraction of the limit over 20 s, starting 1 s after the target sets it.
  */
 static double UsedFraction(LimitLayout layout, uint32_t seed, size_t *max_requests)
--- a/src/tests/limit_world.cpp
+++ b/src/tests/limit_world.cpp
@@ -94,10 +94,10 @@
 	bool in_hall = number < this->hall.size();
 	bool just_started = this->now - instance.started < LEASE_TERM + instance.limit.Share().window;
 	if (!this->layout.lease || !in_hall || just_started) return;
-	std::vector<std::string> others = this->owners;
-	std::erase(others, instance.name);
+	std::vector<std::string> other_owners = this->owners;
+	std::erase(other_owners, instance.name);
 	uint32_t demand = instance.calls + instance.calls_before;
-	for (const LeaseRequest &request : instance.limit.BuildRequests(others, demand, this->now)) {
+	for (const LeaseRequest &request : instance.limit.BuildRequests(other_owners, demand, this->now)) {
 		size_t owner = static_cast<size_t>(std::stoul(request.owner.substr(9)));
 		this->Send(number, owner, [this, number, owner, request, name = instance.name](Instance &lender) {
 			uint32_t granted = lender.limit.Lend(name, request.wanted, lender.calls + lender.calls_before, this->now);
--- a/src/tests/membership_test.cpp
+++ b/src/tests/membership_test.cpp
@@ -12,7 +12,7 @@
 
 TEST_CASE("Membership - outdated information never replaces newer information, and a new incarnation replaces both")
 {
-	bool good = rc::check("news", [](const std::vector<std::pair<uint8_t, uint8_t>> &updates) {
+	bool good = rc::check("outdated information", [](const std::vector<std::pair<uint8_t, uint8_t>> &updates) {
 		Membership members({"self", "hall", "a"}, milliseconds(1000));
 		std::pair<uint64_t, uint64_t> newest{0, 0};
 		TimePoint now(std::chrono::seconds(5));
--- a/src/tests/places_test.cpp
+++ b/src/tests/places_test.cpp
@@ -132,7 +132,7 @@
 
 TEST_CASE("Placement - the allowed halls are those in the home regions of both route and account")
 {
-	bool good = rc::check("homes", [] {
+	bool good = rc::check("home regions", [] {
 		std::map<std::string, std::string> regions;
 		for (const char *hall : {"a", "b", "c", "d", "e"}) regions[hall] = *rc::gen::element<std::string>("r1", "r2", "r3");
 		PlacementTable places("c", regions);
--- a/src/tests/quarantine_test.cpp
+++ b/src/tests/quarantine_test.cpp
@@ -39,16 +39,16 @@
 	}
 }
 
-/** @return Sum of the results of \a days simulations of \a layout. */
-static QuarantineResult SimulateRuns(const QuarantineLayout &layout, uint64_t days)
+/** @return Sum of the results of \a runs simulations of \a layout. */
+static QuarantineResult SimulateRuns(const QuarantineLayout &layout, uint64_t runs)
 {
 	QuarantineResult sum;
-	for (uint64_t seed = 1; seed <= days; seed++) {
-		QuarantineResult day = SimulateQuarantine(layout, seed);
-		sum.crashed += day.crashed;
-		sum.sent_late += day.sent_late;
-		sum.innocents_lost += day.innocents_lost;
-		sum.innocents_rejected += day.innocents_rejected;
+	for (uint64_t seed = 1; seed <= runs; seed++) {
+		QuarantineResult result = SimulateQuarantine(layout, seed);
+		sum.crashed += result.crashed;
+		sum.sent_late += result.sent_late;
+		sum.innocents_lost += result.innocents_lost;
+		sum.innocents_rejected += result.innocents_rejected;
 	}
 	return sum;
 }
@@ -61,9 +61,9 @@
 		layout.targets = *rc::gen::element<size_t>(9, 30, 60);
 		layout.crashes_per_s = *rc::gen::element(0.0, 0.2, 1.0);
 		layout.restarts_per_s = *rc::gen::element(0.0, 0.1, 0.5);
-		QuarantineResult day = SimulateQuarantine(layout, *rc::gen::inRange<uint64_t>(0, 1000000));
-		RC_ASSERT(day.sent_late <= 3U);
-		RC_ASSERT(day.innocents_rejected == 0U);
+		QuarantineResult result = SimulateQuarantine(layout, *rc::gen::inRange<uint64_t>(0, 1000000));
+		RC_ASSERT(result.sent_late <= 3U);
+		RC_ASSERT(result.innocents_rejected == 0U);
 	}));
 }
 
@@ -75,17 +75,17 @@
 	CHECK(SimulateRuns(layout, 5).sent_late > 100);
 }
 
-/** Prints the results \a days of one variant. */
-static void PrintResult(const char *way, const QuarantineLayout &layout, const QuarantineResult &days)
+/** Prints \a results of one variant. */
+static void PrintResult(const char *variant, const QuarantineLayout &layout, const QuarantineResult &results)
 {
-	MESSAGE(std::string(way) << ", crashes per second " << layout.crashes_per_s << ", attempts per caller " << layout.innocent_tries
-	                         << ": targets crashed " << days.crashed << ", innocent requests lost " << days.innocents_lost << ", rejected "
-	                         << days.innocents_rejected);
+	MESSAGE(std::string(variant) << ", crashes per second " << layout.crashes_per_s << ", attempts per caller " << layout.innocent_tries
+	                             << ": targets crashed " << results.crashed << ", innocent requests lost " << results.innocents_lost
+	                             << ", rejected " << results.innocents_rejected);
 }
 
 TEST_CASE("Quarantine - holding a request back after two crashes loses fewer targets and requests than waiting for three")
 {
-	static constexpr uint64_t DAYS = 40;
+	static constexpr uint64_t RUNS = 40;
 	for (double crashes : {0.0, 0.2, 1.0}) {
 		for (uint32_t tries : {2U, 5U}) {
 			QuarantineLayout layout;
@@ -96,13 +96,13 @@
 			three.limits.holdback_crashes = UINT32_MAX;
 			QuarantineLayout for_good = layout;
 			for_good.limits.crash_threshold = 2;
-			QuarantineResult days = SimulateRuns(layout, DAYS);
-			QuarantineResult three_days = SimulateRuns(three, DAYS);
-			PrintResult("two hold back", layout, days);
-			PrintResult("three", three, three_days);
-			PrintResult("two for good", for_good, SimulateRuns(for_good, DAYS));
-			CHECK(days.crashed < three_days.crashed);
-			CHECK(days.innocents_rejected * 1000 < static_cast<size_t>(layout.innocents_per_s * 20 * DAYS));
+			QuarantineResult results = SimulateRuns(layout, RUNS);
+			QuarantineResult three_results = SimulateRuns(three, RUNS);
+			PrintResult("two hold back", layout, results);
+			PrintResult("three", three, three_results);
+			PrintResult("two for good", for_good, SimulateRuns(for_good, RUNS));
+			CHECK(results.crashed < three_results.crashed);
+			CHECK(results.innocents_rejected * 1000 < static_cast<size_t>(layout.innocents_per_s * 20 * RUNS));
 		}
 	}
 }
@@ -119,43 +119,43 @@
 	pcg64 random(seed);
 	Quarantine quarantine(limits);
 	TimePoint now{std::chrono::hours(1)};
-	PartialCrashResult day;
+	PartialCrashResult result;
 	for (int i = 0; i < sends; i++, now += std::chrono::seconds(1)) {
 		if (quarantine.Judge(RequestFingerprint{7}, now) == Suspicion::Quarantined) {
-			day.rejected++;
+			result.rejected++;
 			continue;
 		}
 		if (std::bernoulli_distribution(harm)(random)) {
-			quarantine.Add({RequestFingerprint{7}, "life-" + std::to_string(i)}, now);
-			day.crashed++;
+			quarantine.Add({RequestFingerprint{7}, "incarnation-" + std::to_string(i)}, now);
+			result.crashed++;
 			continue;
 		}
-		for (const CrashRecord &end : quarantine.ClearedBySuccess(RequestFingerprint{7})) quarantine.Remove(end);
+		for (const CrashRecord &record : quarantine.ClearedBySuccess(RequestFingerprint{7})) quarantine.Remove(record);
 	}
-	return day;
+	return result;
 }
 
 TEST_CASE("Quarantine - a request that crashes only some targets is held back too, as an answer removes one crash and not all")
 {
 	static constexpr int SENDS = 120;
-	static constexpr uint64_t DAYS = 200;
+	static constexpr uint64_t RUNS = 200;
 	QuarantineLimits all;
 	all.cleared_per_success = SIZE_MAX;
 	// The last request is innocent: by chance, one percent of its sends coincide with a crash.
 	for (double harm : {0.7, 0.5, 0.3, 0.01}) {
 		PartialCrashResult one_out, all_out;
-		for (uint64_t seed = 0; seed < DAYS; seed++) {
-			PartialCrashResult day = SimulatePartialCrasher({}, harm, SENDS, seed);
+		for (uint64_t seed = 0; seed < RUNS; seed++) {
+			PartialCrashResult result = SimulatePartialCrasher({}, harm, SENDS, seed);
 			PartialCrashResult other = SimulatePartialCrasher(all, harm, SENDS, seed);
-			one_out = {one_out.crashed + day.crashed, one_out.rejected + day.rejected};
+			one_out = {one_out.crashed + result.crashed, one_out.rejected + result.rejected};
 			all_out = {all_out.crashed + other.crashed, all_out.rejected + other.rejected};
 		}
-		MESSAGE("crashes its target in " << harm << " of " << SENDS << " sends, " << DAYS << " runs: removing one " << one_out.crashed
+		MESSAGE("crashes its target in " << harm << " of " << SENDS << " sends, " << RUNS << " runs: removing one " << one_out.crashed
 		                                 << " crashed, " << one_out.rejected << " rejected; removing all " << all_out.crashed
 		                                 << " crashed, " << all_out.rejected << " rejected");
 		CHECK(one_out.crashed <= all_out.crashed);
 		if (harm >= 0.3) CHECK(one_out.crashed < all_out.crashed);
-		if (harm < 0.1) CHECK(one_out.rejected * 50 < DAYS * SENDS);
+		if (harm < 0.1) CHECK(one_out.rejected * 50 < RUNS * SENDS);
 	}
 }
 
@@ -181,7 +181,7 @@
 	CHECK(quarantine.CrashesOf(fingerprint).size() == 2);
 	CHECK(quarantine.Expired(now + std::chrono::minutes(29)).empty());
 	CHECK(quarantine.Expired(now + std::chrono::minutes(31)).size() == 2);
-	for (const CrashRecord &end : quarantine.All()) quarantine.Remove(end);
+	for (const CrashRecord &record : quarantine.All()) quarantine.Remove(record);
 	CHECK(quarantine.IsEmpty());
 	CHECK(quarantine.Judge(fingerprint, now) == Suspicion::None);
 }
@@ -247,11 +247,11 @@
 		this->records.OnTick(this->now);
 	}
 
-	/** @return The rows of \a ends as read from the store. */
-	static std::vector<StoredRow> Rows(const std::vector<CrashRecord> &crash_threshold, bool deleted = false)
+	/** @return The rows of \a records as read from the store. */
+	static std::vector<StoredRow> Rows(const std::vector<CrashRecord> &records, bool deleted = false)
 	{
 		std::vector<StoredRow> rows;
-		for (const CrashRecord &end : crash_threshold) rows.push_back({CrashKey(end), "", 5, deleted});
+		for (const CrashRecord &record : records) rows.push_back({CrashKey(record), "", 5, deleted});
 		return rows;
 	}
 
@@ -259,11 +259,12 @@
 	std::vector<CrashRecord> added;   ///< Records reported as added.
 	std::vector<CrashRecord> removed; ///< Records reported as removed.
 	TimePoint now = MonotonicNow();   ///< Simulated time.
-	CrashRecordStore records{this->store, WatchLimits{}, CrashRecordLimits{}, "g1",
-	                         [this](const std::vector<CrashRecord> &more, const std::vector<CrashRecord> &gone, TimePoint) {
-		                         this->added.insert(this->added.end(), more.begin(), more.end());
-		                         this->removed.insert(this->removed.end(), gone.begin(), gone.end());
-	                         }}; ///< Crash records under test.
+	CrashRecordStore records{
+	        this->store, WatchLimits{}, CrashRecordLimits{}, "g1",
+	        [this](const std::vector<CrashRecord> &new_records, const std::vector<CrashRecord> &removed_records, TimePoint) {
+		        this->added.insert(this->added.end(), new_records.begin(), new_records.end());
+		        this->removed.insert(this->removed.end(), removed_records.begin(), removed_records.end());
+	        }}; ///< Crash records under test.
 };
 
 } // namespace
@@ -271,11 +272,11 @@
 TEST_CASE("Quarantine - crash records are written until the store accepts them, and are bounded while it is unavailable")
 {
 	CrashRecordsHarness harness;
-	CrashRecord end{RequestFingerprint{7}, "engine@5"};
-	CHECK(harness.records.Add(end));
+	CrashRecord record{RequestFingerprint{7}, "engine@5"};
+	CHECK(harness.records.Add(record));
 	harness.Pass(std::chrono::milliseconds(25));
 	REQUIRE(harness.store.writes.size() == 1);
-	CHECK(ParseCrashKey(harness.store.writes[0].key) == end);
+	CHECK(ParseCrashKey(harness.store.writes[0].key) == record);
 	// The first write is not done, the second gets no answer, the third is done.
 	harness.store.writes[0].done(StoreWriteResult::NotDone);
 	harness.Pass(std::chrono::milliseconds(400));
@@ -286,12 +287,12 @@
 	CHECK(harness.records.Waiting() == 1);
 	harness.store.writes[2].done(StoreWriteResult::Done);
 	CHECK(harness.records.Waiting() == 0);
-	CHECK(harness.records.Holds(end));
-	harness.records.Remove(end);
+	CHECK(harness.records.Holds(record));
+	harness.records.Remove(record);
 	harness.Pass(std::chrono::milliseconds(25));
 	REQUIRE(harness.store.removals.size() == 1);
 	harness.store.removals[0].done(StoreWriteResult::Done);
-	CHECK_FALSE(harness.records.Holds(end));
+	CHECK_FALSE(harness.records.Holds(record));
 	for (uint64_t i = 1; i < 1000; i++) static_cast<void>(harness.records.Add({RequestFingerprint{i}, "x"}));
 	CHECK(harness.records.Waiting() == CrashRecordLimits{}.max_pending);
 }
