--- a/src/decision/limit_leases.h
+++ b/src/decision/limit_leases.h
@@ -49,7 +49,7 @@
 	 */
 	uint32_t Lend(const std::string &borrower, uint32_t wanted, LendableShare source, TimePoint now);
 
-	/** @return Requests per window that this instance has lent and that may be used until now. */
+	/** @return Requests per window of this instance's share that others may send, or may have sent. */
 	uint32_t Lent(TimePoint now) const;
 
 	/**
