--- a/src/decision/hall_load.cpp
+++ b/src/decision/hall_load.cpp
@@ -1,12 +1,12 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file hall_load.cpp What data halls tell each other of their engines. */
+/** @file hall_load.cpp Implementation of the aggregated target load that data halls send each other. */
 
 #include "decision/hall_load.h"
 
 namespace cottonspool {
 
-/** @return \a load as it is told of \a target, whose prompts are read within \a wait. */
+/** @return The summary of \a load on \a target, whose pending prompts are prefilled within \a wait. */
 static TargetLoadSum MakeLoadSum(const TargetState &target, const HeldLoad &load, Duration wait)
 {
 	TargetLoadSum sum;
@@ -38,8 +38,8 @@
 {
 	std::vector<ReportUpdate> reports;
 	if (message.hall == this->own_hall) return reports;
-	std::set<TargetNumber> before = std::move(this->reported_targets[message.hall]);
-	std::set<TargetNumber> &used = this->reported_targets[message.hall] = {};
+	std::set<TargetNumber> previous = std::move(this->reported_targets[message.hall]);
+	std::set<TargetNumber> &current = this->reported_targets[message.hall] = {};
 	for (const TargetLoadSum &sum : message.local_targets) {
 		std::optional<TargetNumber> number = this->targets.Find(sum.target);
 		if (!number || this->targets.Get(*number).hall != message.hall) continue;
@@ -49,11 +49,11 @@
 		report.used_tokens = sum.held_tokens;
 		report.running = sum.calls;
 		reports.push_back({sum.target, report});
-		used.insert(*number);
+		current.insert(*number);
 	}
-	for (TargetNumber number : before) {
-		if (used.contains(number)) continue;
-		// What is not told any more has become empty.
+	for (TargetNumber number : previous) {
+		if (current.contains(number)) continue;
+		// A target that is missing from the summary has become idle.
 		this->targets.SetRemotePrefillDone(number, now);
 		LoadReport report;
 		report.capacity_tokens = this->targets.Get(number).report.capacity_tokens;
--- a/src/decision/membership.cpp
+++ b/src/decision/membership.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file membership.cpp Which instances are there. */
+/** @file membership.cpp Implementation of the gossip-based membership. */
 
 #include "decision/membership.h"
 #include "core/hash_func.h"
@@ -20,14 +20,14 @@
 	return false;
 }
 
-void Membership::AddGossip(size_t count, bool own_hall, std::string *last, std::vector<MemberInfo> *gossip) const
+void Membership::AddGossip(size_t count, bool own_hall, std::string *cursor, std::vector<MemberInfo> *gossip) const
 {
-	auto it = this->members.upper_bound(*last);
+	auto it = this->members.upper_bound(*cursor);
 	for (size_t seen = 0; seen < this->members.size() && count > 0; seen++, ++it) {
 		if (it == this->members.end()) it = this->members.begin();
 		if ((it->second.info.hall == this->self.hall) != own_hall) continue;
 		gossip->push_back(it->second.info);
-		*last = it->first;
+		*cursor = it->first;
 		count--;
 	}
 }
@@ -35,8 +35,8 @@
 std::vector<MemberInfo> Membership::NextGossip(size_t count)
 {
 	std::vector<MemberInfo> gossip{this->self};
-	size_t others = this->members.size() <= MAX_FULL_MESH ? count / 2 : 1;
-	this->AddGossip(count - others, true, &this->last_sent_local, &gossip);
+	size_t remote_count = this->members.size() <= MAX_FULL_MESH ? count / 2 : 1;
+	this->AddGossip(count - remote_count, true, &this->last_sent_local, &gossip);
 	this->AddGossip(count + 1 - gossip.size(), false, &this->last_sent_remote, &gossip);
 	return gossip;
 }
@@ -92,8 +92,8 @@
 
 void Membership::SetGossipPace(Duration period, size_t links, size_t gossip)
 {
-	double told = static_cast<double>(std::max<size_t>(1, links * gossip));
-	double rounds = 1 + static_cast<double>(this->HallSize()) / told;
+	double sent_per_round = static_cast<double>(std::max<size_t>(1, links * gossip));
+	double rounds = 1 + static_cast<double>(this->HallSize()) / sent_per_round;
 	this->gossip_timeout = FromSeconds(Seconds(period) * TIMEOUT_ROUNDS * rounds);
 }
 
--- a/src/decision/peer_directory.cpp
+++ b/src/decision/peer_directory.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_directory.cpp The other instances that are known. */
+/** @file peer_directory.cpp Implementation of the directory of the other instances. */
 
 #include "decision/peer_directory.h"
 #include "decision/reader_order.h"
@@ -94,13 +94,13 @@
 
 WantedLinks PeerDirectory::Wanted(const LinkStateOf &link_state_of, bool is_hall_reader, TimePoint now)
 {
-	bool only = this->IsHallOnly();
+	bool same_hall_only = this->IsHallOnly();
 	WantedLinks wanted;
 	for (auto &[name, peer] : this->peers) {
-		if (only && peer.location.hall != this->own_hall) continue;
+		if (same_hall_only && peer.location.hall != this->own_hall) continue;
 		if (this->KeepOrDial(peer, link_state_of(peer.location.address), now)) wanted.peers.push_back(peer.location.address);
 	}
-	if (!only || !is_hall_reader) return wanted;
+	if (!same_hall_only || !is_hall_reader) return wanted;
 	for (const std::string &hall : this->Halls()) {
 		if (hall == this->own_hall) continue;
 		if (const Peer *relay = this->ForwarderIn(hall, link_state_of, now)) wanted.forwarders.push_back(relay->location.address);
@@ -115,11 +115,11 @@
 		if (peer.location.hall == hall) candidates.push_back({name, peer.location.link_mbps});
 	}
 	std::vector<std::string> order = ReaderOrder(FORWARDER_KEY, candidates);
-	// Those that were dialled in vain come last, so that two dead ones don't take turns before all others.
+	// Candidates whose last dial failed come last, so that unreachable ones do not delay the others.
 	std::stable_sort(order.begin(), order.end(), [this](const std::string &a, const std::string &b) {
 		return this->peers[a].redial_delay < this->peers[b].redial_delay;
 	});
-	// One that is open or being dialled is kept; only when there is none is another one dialled.
+	// An open link is preferred to one being established, and that to a new one.
 	for (LinkState wanted : {LinkState::Open, LinkState::Dialling, LinkState::None}) {
 		for (const std::string &name : order) {
 			Peer &peer = this->peers[name];
