--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway.cpp One instance on the platform: its life, its requests. */
+/** @file gateway.cpp Start and stop of an instance, admission of requests, and its regular tick. */
 
 #include "gateway/gateway.h"
 #include "core/hash_func.h"
@@ -14,22 +14,22 @@
 
 namespace cottonspool {
 
-static constexpr Duration SETTINGS_LOOK = std::chrono::seconds(1);                ///< Time between looks at the settings file.
-static constexpr Duration NOT_READY_RETRY_AFTER = std::chrono::milliseconds(400); ///< When to come back while no configuration is known.
-static constexpr Duration NO_HOME_RETRY_AFTER = std::chrono::seconds(2); ///< When to come back while the homes of a request have no hall:
-                                                                         ///< only another configuration changes that.
-static constexpr Duration STOPPING_RETRY_AFTER =
-        std::chrono::milliseconds(50); ///< When to come back, to another instance, while this one stops.
-static constexpr Duration LATEST_WHILE_STOPPING =
-        std::chrono::milliseconds(5000);     ///< Time limit above which a new request is not begun while stopping.
+static constexpr Duration SETTINGS_LOOK = std::chrono::seconds(1);
+static constexpr Duration NOT_READY_RETRY_AFTER = std::chrono::milliseconds(400); ///< Retry-After while no configuration is known.
+/** Retry-After while no hall lies in the home regions of a request; that needs another configuration. */
+static constexpr Duration NO_HOME_RETRY_AFTER = std::chrono::seconds(2);
+/** Retry-After while this instance stops; other instances take requests at once. */
+static constexpr Duration STOPPING_RETRY_AFTER = std::chrono::milliseconds(50);
+/** Requests with a longer timeout are rejected while this instance stops. */
+static constexpr Duration LATEST_WHILE_STOPPING = std::chrono::milliseconds(5000);
 static constexpr size_t ACCOUNT_SERIES = 64; ///< Client accounts with metrics of their own.
 
-/** The tick's timer. */
+/** Timer of the ticks, hidden from users of the header. */
 struct Gateway::Timer {
-	uv_timer_t timer{}; ///< libuv's timer.
+	uv_timer_t timer{};
 };
 
-/** @return A seed that differs between instances and between starts of one, and that a replay of a recorded day repeats. */
+/** @return A seed that differs between instances and between starts, but is the same in each replay on a simulated clock. */
 static uint64_t RandomSeed(const std::string &name)
 {
 	return HashText(name, static_cast<uint64_t>(MonotonicNow().time_since_epoch().count()));
@@ -74,7 +74,7 @@
 	BOOST_OUTCOME_TRY(front_port, this->front.Listen(this->settings.front));
 	BOOST_OUTCOME_TRY(ready_port, this->readiness.Listen(this->settings.ready));
 	std::string metrics_at;
-	// The instances' own ports: metrics on the first one, peers on the next; 0 takes any free one.
+	// The first internal port serves metrics, the next one peers; port 0 takes any free one.
 	if (this->settings.first_port < this->settings.last_port) {
 		bool any = this->settings.first_port == 0;
 		Endpoint metrics_endpoint{this->settings.ip, this->settings.first_port};
@@ -260,7 +260,7 @@
 	this->peers.TellAt(request.spec, request.pool, state.name, generated, at_once);
 }
 
-/** Bit that tells the number of a copy of a run from that of the call itself. */
+/** Marks the number of a run's copy, as opposed to the run itself. */
 static constexpr uint64_t COPY_BIT = 1ULL << 61;
 
 void Gateway::OnCopyBegun(const RelayRequest &request, TargetNumber target)
@@ -304,7 +304,7 @@
 void Gateway::OnWake(Duration still)
 {
 	Log(LogLevel::Warning, "woke", {{"still_ms", FormatMilliseconds(still)}, {"in_flight", std::to_string(this->calls.size())}});
-	// What was told meanwhile is not here yet: targets may have left, halls been emptied, configurations followed each other.
+	// Updates of the time of suspension have not been processed yet.
 	this->configuration_watch.CatchUp();
 	this->target_watch.CatchUp();
 	this->ends.Watch().CatchUp();
@@ -351,7 +351,7 @@
 	Result<NodeSettings> read = ParseNodeSettings(text, this->settings_path);
 	this->settings_text = text;
 	if (!read) return Log(LogLevel::Error, "reload-refused", {{"error", FormatError(read.error())}});
-	// Addresses that are listened on stay as they are until the process starts anew.
+	// Addresses of listeners only change with a restart.
 	this->settings.bounds = read.value().bounds;
 	this->settings.halls = read.value().halls;
 	this->places.SetRegions(this->settings.halls);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway.h One instance on the operators' platform: the loop's shells around the decisions. */
+/** @file gateway.h One instance on the operators' platform: connects sockets, timers and the store to the decisions. */
 
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace cottonspool {
 
-/** One instance on the platform. All its work is done on one loop's thread. */
+/** One instance on the platform. All its work runs on the thread of one event loop. */
 class Gateway {
 public:
 	Gateway(uv_loop_s *loop, NodeSettings settings, std::string settings_path, GatewayLimits limits);
@@ -28,67 +28,67 @@
 	Gateway(const Gateway &) = delete;
 	Gateway &operator=(const Gateway &) = delete;
 
-	/** Listen, begin to read the store, serve once a configuration is known. */
+	/** Start listening and reading the store; requests are served once a configuration is known. */
 	Result<void> Start();
 
-	/** Begin to stop: fail readiness, finish what is in flight, then end the loop. A second call ends at once. */
+	/** Start to stop: fail readiness, finish what is in flight, then end the event loop. A second call ends it at once. */
 	void Stop();
 
-	/** The settings file may have changed: read it again. */
+	/** Read the settings file again. */
 	void Reload();
 
-	/** Carry out decisions of the dispatcher. */
+	/** Execute decisions of the dispatcher. */
 	void Carry(Decisions decisions);
 
-	/** The final answer of \a call has been given. */
+	/** Remove \a call, which has got its final answer. */
 	void OnCallOver(CallId call);
 
-	/** \a target's answer to \a request, which was asked at \a asked, begins: take in what it says of its load and of itself. */
+	/** Apply the load and the signals in the head of \a target's answer to \a request, which was sent at \a asked. */
 	void OnAnswerBegun(const RelayRequest &request, TargetNumber target, const AnswerInfo &answer, TimePoint asked);
 
-	/** A generation of this instance is at \a target, or is further on there. */
+	/** Publish that a generation of this instance runs at \a target, or has advanced there. @param at_once Don't wait for a batch. */
 	void OnCallAt(const RelayRequest &request, TargetNumber target, bool at_once);
 
 	/**
-	 * The memory of \a request's run is being copied to \a target: what it takes there counts, here and at the peers. All runs that
-	 * leave an engine together chose the engine that looked emptiest until the first of them had gone on there, and made it preempt.
+	 * Count the memory of \a request's run at \a target, to which it is being copied, here and at the peers.
+	 * Without this, all runs that leave an engine at the same time would choose the same new engine.
 	 */
 	void OnCopyBegun(const RelayRequest &request, TargetNumber target);
 
-	/** The copy is used, or was given up. */
+	/** Stop counting the copy, which was used or abandoned. */
 	void OnCopyOver(const RelayRequest &request, TargetNumber target);
 
-	/** A generation of this instance is at no target for now. */
+	/** Publish that a generation of this instance is at no target for now. */
 	void OnCallAway(CallId call) { this->peers.TellEnded(call); }
 
-	/** @return Halls in which the run of \a request may go on under the configuration in force. */
+	/** @return Halls in which the run of \a request may continue under the configuration in force. */
 	std::vector<HallPreference> HallsFor(const RelayRequest &request) const;
 
-	/** \a target broke off the send of \a request, with which it had come as far as \a stage. */
+	/** \a target interrupted the send of \a request, which had progressed to \a stage. */
 	void OnSendBroken(const RelayRequest &request, TargetNumber target, RunStage stage, TimePoint now);
 
-	/** The send of \a request to \a target was taken back, as its caller left. */
+	/** The send of \a request to \a target was cancelled, as its caller disconnected. */
 	void OnSendWithdrawn(const RelayRequest &request, TargetNumber target, RunStage stage, TimePoint now);
 
-	/** The run of \a request ended well: it is not what ended the targets that ended under it. */
+	/** The run of \a request succeeded: clear it of crashes that happened under it. */
 	void OnAnsweredWell(const RelayRequest &request);
 
-	/** @return Which life of which target \a target is. */
+	/** @return Name and incarnation of \a target. */
 	const TargetLife &LifeOf(TargetNumber target) const { return this->records[target.value].life; }
 
-	/** @return Where \a target is. */
+	/** @return The address of \a target. */
 	const Endpoint &AddressOf(TargetNumber target) const { return this->records[target.value].address; }
 
-	/** @return Limits on callers that are in force. */
+	/** @return The limits on callers that are in force. */
 	const FrontLimits &FrontLimitsInForce() const { return this->front.limits; }
 
-	/** @return Requests cut by the end of the process. */
+	/** @return Requests aborted by the end of the process. */
 	size_t CutCalls() const { return this->cut_calls; }
 
-	GatewayLimits limits;  ///< Times and bounds.
-	HttpUpstream upstream; ///< Calls to targets and to the store.
-	Metrics metrics;       ///< Figures.
-	Dispatcher dispatcher; ///< Decisions.
+	GatewayLimits limits;  ///< Timeouts and limits.
+	HttpUpstream upstream; ///< HTTP client for the targets and the store.
+	Metrics metrics;
+	Dispatcher dispatcher;
 
 private:
 	void OnTargetChecked(const TargetCheck &check);
@@ -99,53 +99,53 @@
 	void LogReport(TargetNumber target, const LoadReport &report);
 	void OnHallLoad(const HallLoadMessage &message);
 	void TakeReport(TargetNumber target, LoadReport report, Duration age);
-	/** What the gateway keeps of one target beside what the dispatcher knows. */
+	/** What the gateway stores about one target beside what the dispatcher does. */
 	struct TargetRecord {
-		Endpoint address;          ///< Where it is.
-		std::string pool;          ///< Its pool.
-		TargetLife life;           ///< Which life of which target it is.
-		bool engine = false;       ///< It tells reports.
-		uint64_t reports = 0;      ///< Reports taken in.
-		TimePoint next_report;     ///< When the next one is asked for.
-		TimePoint idle_at;         ///< When nothing was last known to be there.
-		TimePoint reported_at;     ///< When the last one came, read here or by a peer.
-		TimePoint report_limit;    ///< When the one under way is given up.
-		uint64_t report_call = 0;  ///< Call under way; 0 for none.
-		TargetSigns signs;         ///< What it said of itself, as logged last.
-		TimePoint signs_logged;    ///< When that was.
-		bool limit_logged = false; ///< A limit of it was logged last, not the end of one.
-		TimePoint limit_logged_at; ///< When that was.
+		Endpoint address;
+		std::string pool;
+		TargetLife life;
+		bool engine = false;      ///< Whether it is an engine, which has load reports.
+		uint64_t reports = 0;     ///< Reports applied so far.
+		TimePoint next_report;    ///< When to fetch the next report.
+		TimePoint idle_at;        ///< When it was last known to be idle.
+		TimePoint reported_at;    ///< When the last report arrived, fetched here or by a peer.
+		TimePoint report_limit;   ///< When the fetch in progress times out.
+		uint64_t report_call = 0; ///< Fetch in progress; 0 for none.
+		TargetSigns signs;        ///< Its signals, as last logged.
+		TimePoint signs_logged;
+		bool limit_logged = false; ///< Whether the last logged change set a rate limit, rather than removed it.
+		TimePoint limit_logged_at;
 	};
 
 	void OnLoadTold(TargetNumber target, const TargetLoad &load);
-	/** The life \a target of a target has said that it leaves. @param source Who told it. */
+	/** The target incarnation \a target has announced that it drains. @param source Where the notice came from, for logs. */
 	void OnOwnWord(const std::string &target, const char *source, TimePoint now);
-	/** The limit that \a target names has changed, as \a source tells from the answer to a request that was asked at \a asked. */
+	/** The rate limit of \a target has changed, according to the answer to a request sent at \a asked. @param source As for logs. */
 	void OnLimitChanged(TargetNumber target, const char *source, TimePoint asked, TimePoint now);
-	/** Another instance has heard \a news of a target. */
+	/** Apply what another instance has learned from a target. */
 	void OnPeerSigns(const SignNews &news);
-	/** @return What the others are to know of the limit of \a target. */
+	/** @return The state of the rate limit of \a target, for the peers. */
 	SignNews NewsOf(TargetNumber target, TimePoint now) const;
-	/** @return What all targets say of themselves by now, for an instance that knows nothing of it. */
+	/** @return All rate limits and drain notices known here, for an instance that has just connected. */
 	std::vector<SignNews> KnownSigns(TimePoint now) const;
-	/** @return Names of the instances that share the limits of targets in \a hall; see PeerExchange::SharersOf(). */
+	/** @return Names of the instances that share the rate limits of targets in \a hall; see PeerExchange::SharersOf(). */
 	const std::vector<std::string> &SharersOf(const std::string &hall);
 	/**
-	 * One that has started among others does not know what its former life has sent, lent and borrowed of a limit: it uses none of it until
-	 * all of that counts no more.
+	 * @return Whether this instance has restarted so recently that requests and leases of its former incarnation may still count against
+	 *         a rate limit; it uses none of the limit until then.
 	 * @param window Length of the limit's window.
 	 */
 	bool HasJustStarted(Duration window, TimePoint now) const;
-	/** Work out anew this instance's share of the limit that \a target names. */
+	/** Recompute this instance's share of the rate limit of \a target. */
 	void ShareLimit(TargetNumber target, TimePoint now);
-	/** Ask others of the target's hall for what its callers here could use of its limit. */
+	/** Request leases of the rate limit of \a target from its other sharers, as far as callers here need more. */
 	void AskLeases(TargetNumber target, TimePoint now);
-	/** Another instance asks for a part of this one's share. @return What it gets. */
+	/** Answer another instance's request for a part of this one's share. @return The part granted. */
 	uint32_t OnLeaseAsk(const LeaseAskMessage &ask);
 	void OnLeaseGrant(const LeaseGrantMessage &grant);
-	/** The instances may have changed: work out anew the shares of all limits. */
+	/** Recompute the shares of all rate limits, as the set of instances may have changed. */
 	void RefreshLimits(TimePoint now);
-	/** Log what \a target says of itself with an answer to \a request, where it says something new. */
+	/** Log the signals in \a target's answer to \a request if they are new. */
 	void LogSigns(const RelayRequest &request, TargetNumber target, const TargetSigns &signs, TimePoint now);
 
 	void HandleRequest(const std::shared_ptr<FrontExchange> &exchange);
@@ -162,101 +162,102 @@
 	void FollowTargets();
 	void FollowInstances();
 	/**
-	 * Log what \a watch learns of the store itself.
-	 * @param table What the table is called in logs.
-	 * @param on_other_store Called when the store has come back from a copy, before the whole table is told.
+	 * Log when \a watch finds the store unavailable, available, outdated or restored.
+	 * @param table Name of the table in logs.
+	 * @param on_other_store Called when the store has been restored from a backup, before the next snapshot of the table.
 	 */
 	void LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_other_store);
 	void OnOperatorRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
 	void OnConfigurationRows(const std::vector<StoredRow> &rows);
 	void OnEmptiedRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
-	/** Which halls are emptied may have changed, also by time alone. */
+	/** Update which halls are evacuated; that also changes with time. */
 	void RefreshEmptied(TimePoint now);
 	void OnHallTakenBack(const std::string &hall, TimePoint now);
 	void NoteCold(TargetNumber number, const ListedTarget &listed, Duration cold_left, TimePoint now);
 	void RefreshHalls(TimePoint now);
 	void ApplyConfiguration(ServingConfiguration configuration);
-	/** Begin to read the tables that all instances need, or ask others for them, once it is known how many there are. */
+	/** Start to read the tables, from the store or from peers, once it is known how many instances there are. */
 	void BeginTables(TimePoint now);
-	/** The instances have been listed, or are divided among cells in another way. */
+	/** The list of instances is complete, or their division into cells has changed. */
 	void OnListed(TimePoint now);
-	/** Take out of \a rows of the list of targets those of other cells. */
+	/** Remove the targets of other cells from \a rows of the table of targets. */
 	void SelectTargets(std::vector<StoredRow> &rows, bool whole);
-	/** @return The part of \a bound, which holds for all instances together, that those of this cell keep to for \a target. */
+	/** @return The part of \a bound, a rate for all instances, that belongs to this cell for \a target. */
 	RateBound CellBound(TargetNumber target, RateBound bound) const;
 	void OnTargetRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
-	/** The row \a key of the list of targets could not be read: logged once for each cause, counted each time. */
+	/** Count an unreadable row \a key of the table of targets, and log it once for each cause. */
 	void NoteUnreadable(const std::string &key, const Error &error);
 	void OnTargetEvents(const std::vector<TargetEvent> &events, TimePoint now);
 	void UseTarget(const ListedTarget &target);
 	void LeaveTarget(const ListedTarget &target, const char *source, TimePoint now);
-	/** The life \a name of a target has ended: what was under way there has failed. */
+	/** Fail the requests at the target incarnation \a name, which has ended. */
 	void EndTarget(const std::string &name, TimePoint now);
 	void RefreshTargets();
 	void RefreshScope();
 	void PollReports(TimePoint now);
 	void PollReport(TargetNumber target, TimePoint now);
 	Duration ReportPeriod(const TargetState &target) const;
-	/** Find out anew whose reports are asked for. */
+	/** Update the list of targets whose reports are fetched. */
 	void RefreshPolled(TimePoint now);
 	void OnReport(TargetNumber target, const std::optional<EngineReport> &report);
 
 	void OnTick();
-	/** The process may have stood still: look at the age of everything before anything is decided. */
+	/** Detect a suspension of the process before anything is decided on outdated data. */
 	void CheckWake(TimePoint now);
 	void OnWake(Duration still);
 	void FinishStopping(TimePoint now);
 	bool IsReady() const;
 
-	uv_loop_s *loop;                                         ///< Loop.
-	NodeSettings settings;                                   ///< Settings.
-	std::string settings_path;                               ///< File that they are in.
-	WireStore store;                                         ///< Platform's store.
-	TableWatch configuration_watch;                          ///< Follows the configuration.
-	TableWatch target_watch;                                 ///< Follows the targets.
-	RouteTable routes;                                       ///< Configuration in force.
-	PlaceTable places;                                       ///< Halls, their regions, those that are emptied.
-	std::set<std::string> emptied;                           ///< Halls that are emptied, as last looked at.
-	TargetRegistry registry;                                 ///< Targets as listed.
-	TargetDivision division;                                 ///< Which of them this instance's cell knows.
-	uint32_t cells = 1;                                      ///< Cells, when the list of targets was last asked for.
-	bool tables_begun = false;                               ///< Reading of the tables has begun.
-	std::vector<TargetRecord> records;                       ///< Targets by number.
-	std::map<std::string, ListedTarget> usable;              ///< Targets in use by name.
-	std::vector<TargetNumber> polled;                        ///< Targets whose reports instances of this hall ask for.
-	TimePoint polled_at;                                     ///< When they were last looked up.
-	std::map<std::string, std::string> unreadable;           ///< Rows that could not be read, with the fault told last.
-	NameTable<ModelNumber> pools;                            ///< Numbers of pools.
-	NameTable<AccountNumber> accounts;                       ///< Numbers of client accounts.
-	std::set<TargetNumber> limited;                          ///< Targets that name a limit.
-	std::map<std::string, TimePoint> left_by_word;           ///< Lives of targets that said they leave, with when that was heard.
-	CallMeter call_meter;                                    ///< Calls that came lately, by pool.
-	TimePoint started_at;                                    ///< When this instance started.
-	std::map<std::string, std::vector<std::string>> sharers; ///< Who shares the limits of a hall's targets, looked up once a second.
-	TimePoint limits_refreshed;                              ///< When their shares were last worked out.
-	PeerLoad peer_load;                                      ///< Calls of other instances.
-	HallLoad hall_load;                                      ///< Load of other halls' targets.
-	EndWatch end_watch;                                      ///< Finds out which targets have ended.
-	EndRecords ends;                                         ///< Ends of targets under requests, in the store.
-	std::set<RequestPrint> quarantined;                      ///< Requests that are not sent, as logged last.
-	TimePoint ends_looked;                                   ///< When old ends were last looked for.
-	PeerExchange peers;                                      ///< Exchange with other instances.
-	HttpFront front;                                         ///< Callers.
-	HttpFront readiness;                                     ///< Platform's balancer.
-	HttpFront figures;                                       ///< Metrics.
-	pcg64 random;                                            ///< Randomness of choices.
+	uv_loop_s *loop;
+	NodeSettings settings;
+	std::string settings_path;                     ///< Path of the settings file.
+	WireStore store;                               ///< Client of the platform's store.
+	TableWatch configuration_watch;                ///< Follows the configuration.
+	TableWatch target_watch;                       ///< Follows the targets.
+	RouteTable routes;                             ///< Configuration in force.
+	PlaceTable places;                             ///< Halls, their regions, and which of them are evacuated.
+	std::set<std::string> emptied;                 ///< Evacuated halls, as of the last update.
+	TargetRegistry registry;                       ///< Targets as listed in the store.
+	TargetDivision division;                       ///< Which targets belong to this instance's cell.
+	uint32_t cells = 1;                            ///< Number of cells when the list of targets was last requested.
+	bool tables_begun = false;                     ///< Whether reading the tables has started.
+	std::vector<TargetRecord> records;             ///< Targets by number.
+	std::map<std::string, ListedTarget> usable;    ///< Targets in use by name.
+	std::vector<TargetNumber> polled;              ///< Targets whose reports are fetched by the instances of this hall.
+	TimePoint polled_at;                           ///< When that list was last updated.
+	std::map<std::string, std::string> unreadable; ///< Unreadable rows, with the error logged last.
+	NameTable<ModelNumber> pools;                  ///< Numbers of pools.
+	NameTable<AccountNumber> accounts;             ///< Numbers of client accounts.
+	std::set<TargetNumber> limited;                ///< Targets with a rate limit.
+	std::map<std::string, TimePoint> left_by_word; ///< Target incarnations that announced their draining, with the time of the notice.
+	CallMeter call_meter;                          ///< Recent calls by pool.
+	TimePoint started_at;                          ///< When this instance started.
+	/** Instances that share the rate limits of a hall's targets; a cache, cleared once a second. */
+	std::map<std::string, std::vector<std::string>> sharers;
+	TimePoint limits_refreshed;
+	PeerLoad peer_load;                 ///< Calls of other instances.
+	HallLoad hall_load;                 ///< Load of targets in other halls.
+	EndWatch end_watch;                 ///< Finds out which targets have crashed.
+	EndRecords ends;                    ///< Crash records in the store.
+	std::set<RequestPrint> quarantined; ///< Quarantined requests, as last logged.
+	TimePoint ends_looked;
+	PeerExchange peers;  ///< Exchange with other instances.
+	HttpFront front;     ///< Listener for callers.
+	HttpFront readiness; ///< Listener for the platform's load balancer.
+	HttpFront figures;   ///< Listener for metrics.
+	pcg64 random;
 	std::unordered_map<CallId, std::shared_ptr<RelayCall>, StrongIdHash> calls; ///< Requests not yet answered.
-	DecisionCarrier<RelayCall> carrier{this->calls};                            ///< Hands decisions to them.
+	DecisionCarrier<RelayCall> carrier{this->calls};                            ///< Passes decisions to them.
 	uint64_t next_call = 1;                                                     ///< Number of the next request.
-	bool stopping = false;                                                      ///< Stop() was called.
-	TimePoint stop_begun;                                                       ///< When.
-	TimePoint ticked_at;                                                        ///< When time last passed.
-	TimePoint next_look;                                                        ///< When all targets are next looked through.
-	TimePoint settings_checked;                                                 ///< When the settings file was last looked at.
-	std::string settings_text;                                                  ///< Its content.
-	size_t cut_calls = 0;                                                       ///< Requests cut by the end.
+	bool stopping = false;                                                      ///< Whether Stop() was called.
+	TimePoint stop_begun;
+	TimePoint ticked_at; ///< Time of the last tick.
+	TimePoint next_look;
+	TimePoint settings_checked;
+	std::string settings_text; ///< Content of the settings file when it was last read.
+	size_t cut_calls = 0;      ///< Requests aborted by the end of the process.
 	struct Timer;
-	std::unique_ptr<Timer> timer; ///< The tick.
+	std::unique_ptr<Timer> timer; ///< Timer of the ticks.
 };
 
 } // namespace cottonspool
--- a/src/gateway/gateway_ends.cpp
+++ b/src/gateway/gateway_ends.cpp
@@ -1,13 +1,13 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_ends.cpp What a gateway does about targets that end under requests. */
+/** @file gateway_ends.cpp Crashes of targets under requests: checks, records and quarantine. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
 
 namespace cottonspool {
 
-static constexpr Duration ENDS_LOOK = std::chrono::seconds(1); ///< Time between looks for ends that are no longer held against anybody.
+static constexpr Duration ENDS_LOOK = std::chrono::seconds(1); ///< Interval at which expired crash records are removed.
 
 void Gateway::OnSendBroken(const RelayRequest &request, TargetNumber number, RunStage stage, TimePoint now)
 {
@@ -15,7 +15,7 @@
 	const Pool *pool = this->routes.FindPool(record.pool);
 	BrokenTarget target{record.life, record.address, REPORT_PATH};
 	if (!record.engine && pool != nullptr) target.path = pool->health_path;
-	// Until the target has answered it counts as ended: a second send of this very request is decided before that.
+	// Counts as a crash until the probe has answered, as a retry of this request may be decided before that.
 	bool suspect = this->end_watch.OnBroken(target, {request.spec.print, request.info.attempt, stage}, now);
 	bool added = suspect && this->dispatcher.Suspicions().Add({request.spec.print, record.life.Name()}, now);
 	if (added) this->OnSuspicionChanged(now);
--- a/src/gateway/gateway_leases.cpp
+++ b/src/gateway/gateway_leases.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_leases.cpp Shares of targets' limits, and what instances lend each other of them. */
+/** @file gateway_leases.cpp Shares of targets' rate limits, and leases of them between instances. */
 
 #include "core/hash_func.h"
 #include "gateway/gateway.h"
@@ -8,7 +8,7 @@
 
 namespace cottonspool {
 
-static constexpr Duration LIMITS_REFRESH = std::chrono::seconds(1); ///< Time between looks at who shares the limits.
+static constexpr Duration LIMITS_REFRESH = std::chrono::seconds(1); ///< Interval at which the set of sharers is updated.
 
 const std::vector<std::string> &Gateway::SharersOf(const std::string &hall)
 {
@@ -31,7 +31,7 @@
 
 void Gateway::ShareLimit(TargetNumber number, TimePoint now)
 {
-	// What each instance knows of a limit bounds the sum only if each keeps to a part of it.
+	// Each instance knows only its own requests, so the sum stays below the limit only if each keeps to a share of it.
 	const TargetState &target = this->dispatcher.Targets().Get(number);
 	const TargetLimit &limit = target.bounds.limit;
 	if (!limit.IsNamed()) return;
@@ -63,7 +63,7 @@
 	if (std::find(all.begin(), all.end(), this->settings.name) == all.end()) return;
 	RateBound bound = this->CellBound(number, target.bounds.limit.Bound());
 	auto in_span = static_cast<size_t>(std::max(1.0, bound.per_second * Seconds(bound.span)));
-	// Where there are more sharers than requests in a span, only some hold a share.
+	// With more sharers than requests in a window, only some hold a share.
 	std::vector<std::string> owners = RendezvousChoice(target.name, all, in_span);
 	std::erase(owners, this->settings.name);
 	for (const LeaseAsk &ask : this->dispatcher.Targets().AskLeases(number, owners, demand, now))
@@ -88,7 +88,7 @@
 	this->dispatcher.Targets().OnGranted(*number, grant.instance, grant.number, grant.granted);
 	if (grant.granted == 0) return;
 	this->metrics.Count("cottonspool_lease_grants_total");
-	// Calls that wait may go now.
+	// The lease may let waiting calls go.
 	this->Carry(this->dispatcher.OnTick(MonotonicNow()));
 }
 
--- a/src/gateway/gateway_limits.cpp
+++ b/src/gateway/gateway_limits.cpp
@@ -1,19 +1,20 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_limits.cpp The limits of an instance, from what the platform allows. */
+/** @file gateway_limits.cpp Derives the limits of an instance from those of the platform. */
 
 #include "gateway/gateway_type.h"
 #include "platform/node_settings.h"
 
 namespace cottonspool {
 
-/** Part of a run's expected growth for which room is kept: runs seldom hold the most at the same time. */
+/** Fraction of a run's expected growth that is reserved; runs seldom reach their maximum at the same time. */
 static constexpr double GROWTH_KEPT = 0.4;
 
-static constexpr double BYTES_PER_MBIT = 125000; ///< Bytes in a megabit.
-static constexpr double PASS_ON_PART = 0.2;      ///< Part of the link that rows passed on to other instances may take.
-static constexpr double HAND_OVER_PART = 0.5;    ///< Part of the link that tables handed to instances that start may take.
-static constexpr double SHARED_BY = 20; ///< Instances among which the slack of the retry budget is shared until their number is known.
+static constexpr double BYTES_PER_MBIT = 125000;
+static constexpr double PASS_ON_PART = 0.2;   ///< Fraction of the network link for forwarding rows to other instances.
+static constexpr double HAND_OVER_PART = 0.5; ///< Fraction of the network link for sending table snapshots to instances that start.
+/** Assumed number of instances that share the slack of the retry budget until the real one is known. */
+static constexpr double SHARED_BY = 20;
 
 GatewayLimits GatewayLimitsFor(const NodeSettings &settings)
 {
@@ -27,8 +28,8 @@
 	limits.exchange.first_start = settings.first_start;
 	if (settings.link_mbps > 0) limits.exchange.pass_on_bytes = settings.link_mbps * BYTES_PER_MBIT * PASS_ON_PART;
 	if (settings.link_mbps > 0) limits.exchange.hand_over_bytes = settings.link_mbps * BYTES_PER_MBIT * HAND_OVER_PART;
-	// The one who reads may be cut off right after an answer: its next call hangs for wait and slack, then the others' patience
-	// runs out one after another. All of it has to fit into the time in which a change has to be known everywhere.
+	// The instance that reads for all may be partitioned right after an answer: its next call times out, then the takeover delays
+	// of the others expire one after another. All of that has to fit into the time in which a change must be known everywhere.
 	const PlatformBounds &bounds = settings.bounds;
 	Duration bound = std::min({bounds.in_force, bounds.drain, bounds.empty});
 	limits.watch.wait = bound * 5 / 20;
@@ -36,20 +37,20 @@
 	limits.watch.patience = bound * 8 / 20;
 	limits.watch.patience_step = bound / 40;
 	limits.watch.patience_most = bound * 12 / 20;
-	// The store may return right after a call was made in vain: that call, the pause behind it and the next answer have to fit
-	// into the calm time after which the bounds hold again, with a quarter of it left to pass on what was read.
+	// The store may recover right after a call was sent in vain: the rest of that call, the backoff and the next answer have to fit
+	// into the recovery time that the platform grants, with a quarter of it left for forwarding the rows.
 	limits.watch.read_most = bounds.contact * 9 / 20;
 	limits.watch.read_limit = std::min<Duration>(limits.watch.read_limit, limits.watch.read_most);
 	limits.watch.pause_most = bounds.contact * 6 / 20;
-	// Engines that are sent more than they have room for preempt runs and read their prompts again. Their reports don't tell
-	// preemptions, so the room kept for growth cannot be learned from them.
+	// Overcommitted engines preempt runs and repeat their prefill. Their reports don't show preemptions, so the reserve for growth
+	// cannot adapt to them.
 	limits.router.use_press = false;
 	limits.dispatch.targets.use_growth_feedback = false;
 	limits.dispatch.targets.growth_start = GROWTH_KEPT;
 	limits.dispatch.retry.backoff_base = std::chrono::milliseconds(5);
 	limits.dispatch.retry.backoff_max = std::chrono::milliseconds(40);
 	limits.dispatch.retry_after_min = std::chrono::milliseconds(100);
-	// Callers keep to a third of the time that is left to them: of the longest limits in use, 39 s, that is 13 s.
+	// Callers wait at most a third of their remaining time: 13 s of the longest timeout in use, 39 s.
 	limits.dispatch.retry_after_max = std::chrono::seconds(15);
 	return limits;
 }
--- a/src/gateway/gateway_places.cpp
+++ b/src/gateway/gateway_places.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_places.cpp What a gateway learns of places: halls that are emptied, homes that change, targets that come back cold. */
+/** @file gateway_places.cpp Evacuated halls, home regions that change, and targets that return cold. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
@@ -40,7 +40,7 @@
 void Gateway::OnHallTakenBack(const std::string &hall, TimePoint now)
 {
 	Log(LogLevel::Info, "hall-taken-back", {{"hall", hall}});
-	// Its targets may have turned cold just before, and their rows say so only with their next heartbeat.
+	// Its targets may have become cold just before; their rows show it only with the next heartbeat.
 	for (const auto &[id, listed] : this->usable) {
 		const Pool *pool = this->routes.FindPool(listed.pool);
 		std::optional<TargetNumber> number = this->dispatcher.Targets().Find(id);
@@ -79,7 +79,7 @@
 {
 	for (const auto &[id, call] : this->calls) {
 		std::vector<HallPreference> halls = this->HallsFor(call->Request());
-		// No halls at all would stand for any: one that there is not stands for none.
+		// An empty list would allow any hall, so a hall name that matches none stands for "nowhere".
 		if (halls.empty()) halls.push_back({std::string(), 0});
 		this->dispatcher.SetHalls(id, std::move(halls));
 	}
--- a/src/gateway/gateway_signs.cpp
+++ b/src/gateway/gateway_signs.cpp
@@ -1,13 +1,13 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_signs.cpp What a gateway learns of a target from the target's own answers. */
+/** @file gateway_signs.cpp Signals that targets send with their own answers: load, rate limits, pauses and drain notices. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
 
 namespace cottonspool {
 
-static constexpr Duration SIGNS_LOG_PAUSE = std::chrono::seconds(1); ///< Least time between lines about one target.
+static constexpr Duration SIGNS_LOG_PAUSE = std::chrono::seconds(1); ///< Shortest time between log lines about one target.
 
 void Gateway::OnAnswerBegun(const RelayRequest &request, TargetNumber number, const AnswerInfo &answer, TimePoint asked)
 {
@@ -23,7 +23,7 @@
 
 void Gateway::OnOwnWord(const std::string &target, const char *source, TimePoint now)
 {
-	// Its own word is final also while the list is silent: the store may be away, and a plain service tells it nowhere else.
+	// The notice is final even if the list doesn't show it: the store may be unavailable, and a plain service announces it nowhere else.
 	std::vector<TargetEvent> events = this->registry.OnOwnNotice(target, source, now);
 	if (events.empty()) return;
 	this->left_by_word[target] = now;
@@ -37,7 +37,8 @@
 	SignNews news{.target = target.name};
 	news.limit = target.bounds.limit.IsNamed() ? SignState::Said : SignState::Absent;
 	news.limit_per_s = target.bounds.limit.IsNamed() ? target.bounds.limit.Bound().per_second : 0;
-	static constexpr Duration OLDEST = std::chrono::minutes(10); ///< What is older says no more than this.
+	/** Upper limit of the age that is sent; older values are equally outdated. */
+	static constexpr Duration OLDEST = std::chrono::minutes(10);
 	news.asked_ago = std::min(OLDEST, now - target.bounds.limit.HeardAt());
 	return news;
 }
--- a/src/gateway/gateway_store.cpp
+++ b/src/gateway/gateway_store.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_store.cpp The tables of the store that a gateway follows, and what becomes of the operators' one. */
+/** @file gateway_store.cpp The tables of the store that a gateway follows, and the use of the configuration. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
@@ -42,7 +42,7 @@
 			watch->Start(now);
 		}
 	}
-	// Not later: an instance that starts among others hears of the ends with the first news of the targets.
+	// At the same time, as an instance that starts among others receives crash records along with its first updates of the targets.
 	this->ends.Watch().Start(now);
 }
 
@@ -67,7 +67,7 @@
 	if (whole) this->division.Divide(targets, among);
 	size_t kept = 0;
 	for (size_t i = 0; i < rows.size(); i++) {
-		// Removals and rows that can't be read tell no pool: all get them, as they may be of a target that is known.
+		// Removed and unreadable rows name no pool, so all cells keep them: they may belong to a known target.
 		bool own = !targets[i].target || this->division.IsOwn(*targets[i].target);
 		if (own) std::swap(rows[kept++], rows[i]);
 	}
@@ -111,7 +111,7 @@
 
 void Gateway::LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_other_store)
 {
-	// Which version was known, which was read and what the others' mark is tells a store that went back from one that is slow.
+	// The versions in these lines distinguish a store that was restored from a backup from one that lags.
 	watch.on_lost = [&watch, table](const RowsAnswer &answer, TimePoint) {
 		Log(LogLevel::Warning, "store-lost",
 		    {{"table", table},
@@ -148,7 +148,7 @@
 
 void Gateway::OnConfigurationRows(const std::vector<StoredRow> &rows)
 {
-	// Several versions may come at once: only the newest is worth reading.
+	// Several versions may arrive at once; only the newest is used.
 	const StoredRow *newest = nullptr;
 	for (const StoredRow &row : rows) {
 		if (!IsConfigurationKey(row.key) || row.deleted) continue;
--- a/src/gateway/gateway_targets.cpp
+++ b/src/gateway/gateway_targets.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_targets.cpp What a gateway learns of targets. */
+/** @file gateway_targets.cpp Targets in use, and their load reports. */
 
 #include "core/hash_func.h"
 #include "gateway/gateway.h"
@@ -11,8 +11,7 @@
 
 namespace cottonspool {
 
-static constexpr double REPORT_JITTER =
-        0.3; ///< Part of the time between reports by which each is moved, so that instances don't ask together.
+static constexpr double REPORT_JITTER = 0.3; ///< Random part of the report interval, so that the instances don't fetch reports in step.
 
 void Gateway::RefreshScope()
 {
@@ -41,7 +40,7 @@
 		if (target) {
 			decoded.push_back(std::move(target.value()));
 		} else {
-			// It names no target to use, also if it named one before.
+			// Replaces the target that this row may have named before.
 			decoded.push_back({row.key, std::nullopt});
 			this->NoteUnreadable(row.key, target.error());
 		}
@@ -51,7 +50,7 @@
 
 void Gateway::NoteUnreadable(const std::string &key, const Error &error)
 {
-	static constexpr size_t MOST_NAMED = 256; ///< Rows whose fault is remembered: whoever writes more of them is told of no more.
+	static constexpr size_t MOST_NAMED = 256; ///< Unreadable rows whose last error is remembered; errors of further ones are not logged.
 	this->metrics.Count("cottonspool_unreadable_rows_total");
 	std::string &told = this->unreadable[key];
 	if (told == error.message || this->unreadable.size() > MOST_NAMED) return;
@@ -61,7 +60,7 @@
 
 void Gateway::OnTargetEvents(const std::vector<TargetEvent> &events, TimePoint now)
 {
-	static constexpr size_t MOST_LOGGED = 64; // A whole list is told in one line.
+	static constexpr size_t MOST_LOGGED = 64; // Longer lists are logged in one line.
 	bool log_each = events.size() <= MOST_LOGGED;
 	if (!log_each) Log(LogLevel::Info, "targets-changed", {{"targets", std::to_string(events.size())}, {"source", events.front().source}});
 	for (const TargetEvent &event : events) {
@@ -98,7 +97,7 @@
 	targets.SetUnreported(number, engine ? pool->engine->memory_tokens : listed.slots);
 	if (this->records.size() <= number.value) this->records.resize(number.value + 1);
 	TargetRecord &record = this->records[number.value];
-	// The reader of a new target's reports gets the time to tell its first one.
+	// Gives the instance that fetches reports of a new target the time for the first one.
 	if (record.reported_at == TimePoint{}) record.reported_at = MonotonicNow();
 	record.address = address.value();
 	record.pool = listed.pool;
@@ -131,7 +130,7 @@
 {
 	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(name);
 	if (!number) return;
-	// Connections to a life that has ended may hang, if it ended behind a cut: nothing more comes on them.
+	// Connections to a terminated incarnation may hang behind a network partition and would never end by themselves.
 	for (CallId id : this->dispatcher.CallsAt(*number)) {
 		auto found = this->calls.find(id);
 		std::shared_ptr<RelayCall> call = found == this->calls.end() ? nullptr : found->second;
@@ -151,7 +150,7 @@
 	}
 }
 
-/** @return Whether nothing is known to be at \a target. */
+/** @return Whether no request is known to be at \a target. */
 static bool IsIdle(const TargetState &target)
 {
 	bool used = !target.in_flight.empty() || target.report.running + target.report.waiting > 0;
@@ -160,9 +159,9 @@
 
 void Gateway::PollReports(TimePoint now)
 {
-	static constexpr Duration LOOK = std::chrono::seconds(1); // Which halls are looked at also changes with the instances.
+	static constexpr Duration LOOK = std::chrono::seconds(1); // The halls in scope also change with the set of instances.
 	if (now - this->polled_at >= LOOK) this->RefreshPolled(now);
-	// Reports of idle engines tell nothing new, unless others use them unheard, or say there that they leave.
+	// Reports of idle engines contain nothing new, unless unknown instances use the engines or only the reports show that they drain.
 	bool asks_idle = this->target_watch.IsLost() || !this->peers.HearsMost();
 	for (TargetNumber number : this->polled) {
 		TargetRecord &record = this->records[number.value];
@@ -176,13 +175,13 @@
 			continue;
 		}
 		if (record.report_call != 0 || now < record.next_report) continue;
-		// It wants nothing from this instance: another one reads its reports once it hears none.
+		// The target asked this instance to pause; another one fetches its reports once it misses them.
 		if (now < target.bounds.paused_until) continue;
-		// One instance reads a target's reports for all; the others read them only when they hear nothing.
+		// One instance fetches a target's reports for all; the others do so only if none arrive.
 		Duration patience = FromSeconds(Seconds(this->limits.report_poll) * this->limits.report_patience);
 		TimePoint heard = std::max(record.reported_at, record.idle_at);
 		if (now - heard < patience && !this->peers.ReadsReportsOf(target.name)) {
-			// Whose turn it is changes with the instances that live: looked up again soon, but not at every step.
+			// The instance in charge may change, but that need not be checked at every tick.
 			record.next_report = std::min(heard + patience, now + this->limits.report_poll);
 			continue;
 		}
@@ -224,7 +223,7 @@
 	report.leaving = told->leaving && this->limits.use_own_notice;
 	this->LogReport(number, report);
 	this->peers.TellReport(this->dispatcher.Targets().Get(number).name, report);
-	// A notice that only the report tells leaves little time to move runs: the others hear of it at once.
+	// A drain notice that arrives by report leaves little time for migrations, so the peers get it immediately.
 	if (report.leaving) this->peers.Flush();
 	this->TakeReport(number, std::move(report), this->limits.report_age);
 }
@@ -234,7 +233,7 @@
 	TimePoint now = MonotonicNow();
 	const TargetState &target = this->dispatcher.Targets().Get(number);
 	HeldLoad held = this->dispatcher.Targets().HeldAt(target, now);
-	// What was believed before this report beside what it says: how wrong placing was here.
+	// Shows how far the estimated load was off from the reported one.
 	Log(LogLevel::Info, "report",
 	    {{"target", target.name},
 	     {"hall", target.hall},
--- a/src/gateway/gateway_type.h
+++ b/src/gateway/gateway_type.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_type.h Plain types of the gateway: its limits, and one request as it is served. */
+/** @file gateway_type.h Limits of a gateway, and one request as it is served. */
 
 #pragma once
 
@@ -15,63 +15,74 @@
 
 namespace cottonspool {
 
-/** Times and bounds of a gateway. */
+/** Timeouts and limits of a gateway. */
 struct GatewayLimits {
-	Duration tick = std::chrono::milliseconds(25); ///< Time between ticks; bounds how late a time limit is acted on.
-	Duration wake_after =
-	        std::chrono::seconds(1); ///< Time without a tick after which the machine was suspended, or the process stood still.
-	Duration report_poll = std::chrono::milliseconds(600);       ///< Time between reports asked of an engine, by one instance for all.
-	Duration report_poll_alone = std::chrono::milliseconds(200); ///< The same while the store is away: only reports tell who leaves.
-	Duration target_look = std::chrono::milliseconds(100);       ///< Time between looks through all targets: there may be thousands.
-	Duration report_age = std::chrono::milliseconds(400);        ///< Age of a report when it arrives, as the engines' operators state it.
-	Duration hall_load_age = std::chrono::milliseconds(450); ///< Age of what another hall tells of its targets: a call of this hall's is
-	                                                         ///< told there and comes back with the sum, each after a period at most.
-	Duration report_limit = std::chrono::milliseconds(800);  ///< Time after which a report is not waited for.
-	Duration connect = std::chrono::milliseconds(
-	        150);             ///< Longest time to connect to a target: many round trips; a lost packet is repeated too late to wait for.
-	double wait_part = 0.22;  ///< Part of the objective that a request may wait here before it is refused.
-	double press_part = 0.08; ///< Part of the objective after which a request goes to a target without room.
-	Duration answer_slack = std::chrono::milliseconds(30); ///< Time before a limit at which the final answer is given.
-	Duration reuse_once =
-	        std::chrono::milliseconds(1500); ///< Longest rest of a connection for a request that may run once: a stale one would cost it.
-	size_t max_answer_bytes = 8U << 20;      ///< Answers of plain services up to this size are held until whole.
-	Duration stop_notice = std::chrono::milliseconds(2600); ///< Time between failing readiness and ending while nothing is left to do.
-	Duration stop_margin = std::chrono::milliseconds(250);  ///< Time before the platform's kill at which what is left is cut.
-	Duration move_retry = std::chrono::milliseconds(60);    ///< Pause before a move that was refused is tried again.
-	Duration least_move = std::chrono::milliseconds(300);   ///< Runs that are expected to end sooner stay where they are.
-	double copy_lead = 0.9;       ///< Part of the expected wait for the link after which a copy is asked for, so that the link never rests.
-	double report_patience = 2.2; ///< Times between reports after which one that a peer should have told is read here.
-	Duration life_check = std::chrono::milliseconds(300);    ///< Longest wait for a sign of life of a target that broke a send off.
-	Duration begun_lately = std::chrono::seconds(2);         ///< Time for which a run that has begun may still be what ends its engine.
-	EndRecordLimits end_records;                             ///< Writing of ends of targets under requests.
-	WatchLimits end_table{.wait = std::chrono::seconds(10)}; ///< Following them: whoever follows the targets does, at the least cost.
-	ExchangeLimits exchange;                                 ///< Exchange with other instances.
-	double silence_part = 0.72;      ///< Part of the longest good pause after which a silent engine is taken for lost, if there is a copy.
-	size_t hall_engines = 8;         ///< Engines in the own hall from which its instances keep to them and to each other.
-	size_t hall_engines_least = 4;   ///< Engines below which they no longer do; lower, so that a few departures change nothing.
-	double other_hall_penalty = 1.2; ///< Pressure by which another hall's target must be better: a cut hall stops what it has elsewhere.
-	bool use_moves = true;           ///< Runs move away from engines that leave.
-	bool count_copies = true;        ///< What a copy under way takes at its engine counts there.
-	bool use_own_notice = true;      ///< An engine's notice in its own report counts.
-	double retry_slack = 50;         ///< Retries beyond their share of the requests that all instances together may make.
-	BackupRules backup;              ///< Copies of runs.
-	DispatchLimits dispatch;         ///< Decisions.
-	HeadroomRules router;            ///< Choice of targets.
-	RegistryLimits registry;         ///< Targets.
-	WatchLimits watch{.keep = true}; ///< Store.
+	Duration tick = std::chrono::milliseconds(25); ///< Interval of the main timer; timeouts are noticed at most this late.
+	Duration wake_after = std::chrono::seconds(1); ///< Time without a tick after which the process counts as having been suspended.
+	/** Interval at which an engine's load report is fetched, by one instance for all. */
+	Duration report_poll = std::chrono::milliseconds(600);
+	/** The same while the store is unavailable, when only reports tell which engines drain. */
+	Duration report_poll_alone = std::chrono::milliseconds(200);
+	Duration target_look = std::chrono::milliseconds(100); ///< Interval between scans of all targets; there may be thousands.
+	/** Assumed age of a report on arrival, as the operators of the engines state it. */
+	Duration report_age = std::chrono::milliseconds(400);
+	/**
+	 * Assumed age of another hall's load figures: up to two publishing periods, as they include calls that this hall announced before.
+	 */
+	Duration hall_load_age = std::chrono::milliseconds(450);
+	Duration report_limit = std::chrono::milliseconds(800); ///< Time after which fetching a report is abandoned.
+	/** Timeout for connecting to a target; shorter than the retransmission of a lost packet. */
+	Duration connect = std::chrono::milliseconds(150);
+	double wait_part = 0.22;  ///< Fraction of the latency objective that a request may wait in the queue before it is rejected.
+	double press_part = 0.08; ///< Fraction of the latency objective after which a request goes to a target without headroom.
+	Duration answer_slack = std::chrono::milliseconds(30); ///< Time before a request's deadline at which the final answer is given.
+	/** Longest idle time of a reused connection for requests that may run only once; a stale connection could lose such a request. */
+	Duration reuse_once = std::chrono::milliseconds(1500);
+	size_t max_answer_bytes = 8U << 20; ///< Answers of plain services up to this size are buffered completely before they are forwarded.
+	/** Time for which an instance that stops keeps running after it failed readiness, even without requests. */
+	Duration stop_notice = std::chrono::milliseconds(2600);
+	/** Time before the platform kills the process at which the remaining requests are aborted. */
+	Duration stop_margin = std::chrono::milliseconds(250);
+	Duration move_retry = std::chrono::milliseconds(60);  ///< Delay before a migration that failed is tried again.
+	Duration least_move = std::chrono::milliseconds(300); ///< Runs that are expected to finish sooner are not migrated.
+	/** Fraction of the expected wait for the engine's network link after which a copy is requested, so that the link never idles. */
+	double copy_lead = 0.9;
+	double report_patience = 2.2; ///< Report intervals without a report from peers after which this instance fetches the report itself.
+	Duration life_check = std::chrono::milliseconds(300); ///< Timeout of a liveness probe.
+	Duration begun_lately = std::chrono::seconds(2);      ///< Time after its start in which a run may have caused a crash of its engine.
+	EndRecordLimits end_records;                          ///< Writing of crash records.
+	/** Following the table of crash records; it is read together with the table of targets. */
+	WatchLimits end_table{.wait = std::chrono::seconds(10)};
+	ExchangeLimits exchange; ///< Exchange with other instances.
+	/** Fraction of the objective for the gap between tokens after which a silent engine is abandoned, if a copy of the run exists. */
+	double silence_part = 0.72;
+	/** Engines in the local hall from which its instances use only these and exchange updates only inside the hall. */
+	size_t hall_engines = 8;
+	size_t hall_engines_least = 4; ///< Engines in the local hall below which that ends; lower, as hysteresis.
+	/** Pressure by which a target in another hall has to be better, as a network partition cuts off what runs there. */
+	double other_hall_penalty = 1.2;
+	bool use_moves = true;           ///< Migrate runs away from draining engines.
+	bool count_copies = true;        ///< Count the memory of a copy in progress at the engine that receives it.
+	bool use_own_notice = true;      ///< Use the drain notice in an engine's own report.
+	double retry_slack = 50;         ///< Retries beyond the ratio to requests that all instances together may make.
+	BackupRules backup;              ///< Copies of runs at other engines.
+	DispatchLimits dispatch;         ///< Dispatching of requests.
+	HeadroomRules router;            ///< Choice of a target by headroom.
+	RegistryLimits registry;         ///< Registry of targets.
+	WatchLimits watch{.keep = true}; ///< Following the tables of the store.
 };
 
 /** One request as it is served. */
 struct RelayRequest {
-	RequestInfo info;         ///< What the caller's fields say.
-	Route route;              ///< Route, as it was in force when the request came.
-	std::string pool;         ///< Pool that was drawn.
+	RequestInfo info;         ///< What the request's headers say.
+	Route route;              ///< Route that was in force when the request arrived.
+	std::string pool;         ///< Pool that was chosen.
 	std::string account;      ///< Client account; empty for none.
-	EnginePool engines;       ///< What is known of the pool's engines; of no use for a plain service.
-	bool can_back_up = false; ///< A copy of its run can be kept at another engine.
-	int rank = 0;             ///< Order; 0 goes first.
-	CallSpec spec;            ///< For the dispatcher.
-	TimePoint ends_at;        ///< When the final answer is due at the latest.
+	EnginePool engines;       ///< Properties of the pool's engines; unused for a plain service.
+	bool can_back_up = false; ///< Whether a copy of its run can be kept at another engine.
+	int rank = 0;             ///< Priority; 0 goes first.
+	CallSpec spec;            ///< The request as the dispatcher sees it.
+	TimePoint ends_at;        ///< Latest time for the final answer.
 };
 
 struct NodeSettings;
--- a/src/gateway/rule_switches.cpp
+++ b/src/gateway/rule_switches.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file rule_switches.cpp Mechanisms that can be switched one by one. */
+/** @file rule_switches.cpp Features that can be switched off or on one by one. */
 
 #include "gateway/rule_switches.h"
 #include <algorithm>
@@ -8,40 +8,43 @@
 
 namespace cottonspool {
 
-/** The mechanisms; all are on unless the effect says that it is switched on. */
+/** All features are on by default, unless the effect says "switched on". */
 static constexpr RuleSwitch SWITCHES[] = {
-        {"moves", "a run stays at an engine that leaves", [](GatewayLimits &l) { l.use_moves = false; }},
-        {"copies-in-turn", "copies of runs that leave an engine together are asked for at once", [](GatewayLimits &l) { l.copy_lead = 0; }},
-        {"own-hall-first", "the own hall's targets are not preferred", [](GatewayLimits &l) { l.other_hall_penalty = 0; }},
-        {"room", "a call does not wait for room at an engine", [](GatewayLimits &l) { l.router.use_headroom = false; }},
-        {"first-token", "the wait for the first token is not looked at", [](GatewayLimits &l) { l.router.use_first_token = false; }},
-        {"cached-prefix", "a cached beginning of the prompt is not looked at", [](GatewayLimits &l) { l.router.use_prefix = false; }},
-        {"interval", "the time between tokens is not looked at", [](GatewayLimits &l) { l.router.use_interval = false; }},
-        {"room-binds", "generations go to engines without room, up to a bound", [](GatewayLimits &l) { l.router.use_press = true; }},
-        {"growth-kept", "switched on: the room kept for growth is adapted to preemptions that reports tell",
+        {"moves", "runs are not migrated away from draining engines", [](GatewayLimits &l) { l.use_moves = false; }},
+        {"copies-in-turn", "copies of all runs that leave an engine are requested at once instead of one after another",
+         [](GatewayLimits &l) { l.copy_lead = 0; }},
+        {"own-hall-first", "targets in the local hall are not preferred", [](GatewayLimits &l) { l.other_hall_penalty = 0; }},
+        {"room", "requests do not wait for headroom at an engine", [](GatewayLimits &l) { l.router.use_headroom = false; }},
+        {"first-token", "the expected time to first token is ignored", [](GatewayLimits &l) { l.router.use_first_token = false; }},
+        {"cached-prefix", "cached prompt prefixes are ignored", [](GatewayLimits &l) { l.router.use_prefix = false; }},
+        {"interval", "the time between tokens is ignored", [](GatewayLimits &l) { l.router.use_interval = false; }},
+        {"room-binds", "generations may overcommit engines, up to a limit", [](GatewayLimits &l) { l.router.use_press = true; }},
+        {"growth-kept", "switched on: the memory reserved for growth adapts to preemptions in engines' reports",
          [](GatewayLimits &l) { l.dispatch.targets.use_growth_feedback = true; }},
-        {"pressing", "no plain call goes to a service without room",
+        {"pressing", "plain requests never go to a service without headroom",
          [](GatewayLimits &l) { l.press_part = std::numeric_limits<double>::infinity(); }},
-        {"learned-lengths", "expected lengths are not learned", [](GatewayLimits &l) { l.dispatch.lengths.learn = false; }},
-        {"retry-failed", "a repeatable call that failed at a target is not sent to another",
+        {"learned-lengths", "output lengths are not learned", [](GatewayLimits &l) { l.dispatch.lengths.learn = false; }},
+        {"retry-failed", "a repeatable request that failed at a target is not retried at another",
          [](GatewayLimits &l) { l.dispatch.retry_failed = false; }},
-        {"ejection", "targets that fail in a row are not ejected",
+        {"ejection", "targets with consecutive failures are not ejected",
          [](GatewayLimits &l) { l.dispatch.targets.eject_failures = std::numeric_limits<uint32_t>::max(); }},
-        {"early-refusal", "a call is not refused before its wait is over", [](GatewayLimits &l) { l.dispatch.refuse_early = false; }},
-        {"peer-news", "instances do not tell each other of their calls", [](GatewayLimits &l) { l.exchange.tell_calls = false; }},
-        {"shared-reports", "each instance reads each engine's reports", [](GatewayLimits &l) { l.exchange.share_reports = false; }},
-        {"hall-scope", "news go to the instances of all halls",
+        {"early-refusal", "requests are not rejected before their wait limit", [](GatewayLimits &l) { l.dispatch.refuse_early = false; }},
+        {"peer-news", "instances do not publish their calls to peers", [](GatewayLimits &l) { l.exchange.tell_calls = false; }},
+        {"shared-reports", "each instance fetches the reports of all engines itself",
+         [](GatewayLimits &l) { l.exchange.share_reports = false; }},
+        {"hall-scope", "updates go to the instances of all halls",
          [](GatewayLimits &l) { l.hall_engines = std::numeric_limits<size_t>::max(); }},
-        {"hall-load", "halls don't tell each other the load of their targets", [](GatewayLimits &l) { l.exchange.tell_halls = false; }},
-        {"fresh-connection", "calls that run once use connections that have rested",
+        {"hall-load", "halls do not publish the load of their targets to other halls",
+         [](GatewayLimits &l) { l.exchange.tell_halls = false; }},
+        {"fresh-connection", "requests that may run only once reuse idle connections",
          [](GatewayLimits &l) { l.reuse_once = std::chrono::hours(1); }},
-        {"own-notice", "an engine's notice in its own report is not looked at", [](GatewayLimits &l) { l.use_own_notice = false; }},
-        {"lapse-grace", "rows that lapsed while the store was away count as departures",
+        {"own-notice", "the drain notice in an engine's report is ignored", [](GatewayLimits &l) { l.use_own_notice = false; }},
+        {"lapse-grace", "targets whose rows expired while the store was unavailable count as gone",
          [](GatewayLimits &l) {
 	         l.registry.lapse_grace = Duration(0);
 	         l.registry.lapse_least = std::numeric_limits<size_t>::max();
          }},
-        {"copy-room", "what a copy under way takes at its engine is not counted", [](GatewayLimits &l) { l.count_copies = false; }},
+        {"copy-room", "the memory of copies in progress is not counted", [](GatewayLimits &l) { l.count_copies = false; }},
         {"backups", "switched on: copies of all long runs are kept at other engines", [](GatewayLimits &l) { l.backup.use = true; }},
 };
 
@@ -57,7 +60,7 @@
 		names.remove_prefix(std::min(names.size(), name.size() + 1));
 		auto found = std::find_if(std::begin(SWITCHES), std::end(SWITCHES), [&](const RuleSwitch &rule) { return rule.name == name; });
 		if (found == std::end(SWITCHES)) {
-			return Error{Step::Settings, "--switch", "'" + std::string(name) + "' is no mechanism; --switch=help lists them"};
+			return Error{Step::Settings, "--switch", "'" + std::string(name) + "' is not a known feature; --switch=help lists them"};
 		};
 		found->apply(limits);
 	}
--- a/src/gateway/rule_switches.h
+++ b/src/gateway/rule_switches.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file rule_switches.h Mechanisms that can be switched one by one, to measure what each of them is worth. */
+/** @file rule_switches.h Features that can be switched off or on one by one, for ablation measurements. */
 
 #pragma once
 
@@ -10,17 +10,17 @@
 
 namespace cottonspool {
 
-/** One mechanism that can be switched. */
+/** A feature that can be switched. */
 struct RuleSwitch {
-	const char *name;                     ///< Name on the command line.
-	const char *effect;                   ///< What an instance does once it is switched.
-	void (*apply)(GatewayLimits &limits); ///< Switches it in the limits of an instance.
+	const char *name;
+	const char *effect;                   ///< Effect of the switch, for the help text.
+	void (*apply)(GatewayLimits &limits); ///< Sets the switch in the limits of an instance.
 };
 
-/** @return All mechanisms that can be switched. */
+/** @return All features that can be switched. */
 std::span<const RuleSwitch> RuleSwitches();
 
-/** Switch the mechanisms \a names, separated by commas, in \a limits. @return An error that names the first one that there is not. */
+/** Apply the switches \a names, separated by commas, to \a limits. @return An error that names the first unknown one. */
 Result<void> SwitchRules(std::string_view names, GatewayLimits &limits);
 
 } // namespace cottonspool
--- a/src/gateway/run_stage_type.h
+++ b/src/gateway/run_stage_type.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file run_stage_type.h How far a target has come with a send. */
+/** @file run_stage_type.h Progress of a request at its target. */
 
 #pragma once
 
@@ -8,11 +8,11 @@
 
 namespace cottonspool {
 
-/** How far a target has come with a send. */
+/** Progress of a request at its target. */
 enum class RunStage : uint8_t {
-	Waiting,  ///< Not known to have begun it.
-	Begun,    ///< It has begun it, shortly before.
-	RunsWell, ///< It has run it for longer than it takes to end under it.
+	Waiting,  ///< Not known to have started.
+	Begun,    ///< Started so recently that it may still crash the target.
+	RunsWell, ///< Running for longer than a request that crashes its target would.
 };
 
 } // namespace cottonspool
--- a/src/tests/rule_switches_test.cpp
+++ b/src/tests/rule_switches_test.cpp
@@ -26,5 +26,5 @@
 	CHECK(limits.use_moves);
 	Result<void> wrong = SwitchRules("moves,no-such", limits);
 	REQUIRE_FALSE(wrong.has_value());
-	CHECK(FormatError(wrong.error()).find("'no-such' is no mechanism") != std::string::npos);
+	CHECK(FormatError(wrong.error()).find("'no-such' is not a known feature") != std::string::npos);
 }
