--- a/src/gateway/end_records.cpp
+++ b/src/gateway/end_records.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_records.cpp Keeps the ends of targets under requests in the store. */
+/** @file end_records.cpp Stores crashes of targets under requests in a table that all instances follow. */
 
 #include "gateway/end_records.h"
 #include "metrics/log.h"
@@ -9,8 +9,8 @@
 
 namespace cottonspool {
 
-static const char *const END_TABLE = "cottonspool-ends"; ///< Table of ends.
-static constexpr char KEY_SEPARATOR = '/';               ///< Between the fingerprint and the life in a key.
+static const char *const END_TABLE = "cottonspool-ends";
+static constexpr char KEY_SEPARATOR = '/'; ///< Stands between the fingerprint and the incarnation in a key.
 
 std::string EndKey(const EndRecord &end)
 {
@@ -69,13 +69,13 @@
 	auto found = this->changes.find(end);
 	if (found == this->changes.end() || found->second.number != number) return;
 	if (result == StoreWrite::Done) {
-		// The table's own news of it may still be on their way.
+		// The table's own update may arrive later.
 		if (found->second.add) this->listed.insert(end);
 		if (!found->second.add) this->listed.erase(end);
 		this->changes.erase(found);
 		return;
 	}
-	// It may have been done: doing it again changes nothing.
+	// The row may have been written all the same; writing it again is harmless.
 	found->second.call = 0;
 	found->second.due = this->ticked_at + this->limits.pause;
 }
@@ -98,7 +98,7 @@
 void EndRecords::OnOtherStore()
 {
 	this->forgotten = true;
-	// A write under way may have gone to the former store: its answer says nothing of this one.
+	// A write in progress may have gone to the store before it was restored.
 	for (auto &[end, change] : this->changes) {
 		if (change.call == 0) continue;
 		this->store.Cancel(change.call);
@@ -134,9 +134,9 @@
 		if (row.deleted) continue;
 		bool news = this->listed.insert(*end).second;
 		auto change = this->changes.find(*end);
-		// Another instance was faster.
+		// Another instance has written the row.
 		if (change != this->changes.end() && change->second.add && change->second.call == 0) this->changes.erase(change);
-		// What was taken out since the copy is taken out again.
+		// The restored backup may contain rows that have been removed since.
 		bool was_cleared = all && this->forgotten && this->cleared.contains(*end);
 		if (was_cleared) this->changes[*end] = Change{.add = false};
 		if (news && !was_cleared) added.push_back(*end);
--- a/src/gateway/end_records.h
+++ b/src/gateway/end_records.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_records.h Keeps the ends of targets under requests in the store, where all instances find them. */
+/** @file end_records.h Stores crashes of targets under requests in a table that all instances follow. */
 
 #pragma once
 
@@ -12,60 +12,60 @@
 
 namespace cottonspool {
 
-/** Bounds of what is written. */
+/** Limits of the writes to the table. */
 struct EndRecordLimits {
-	size_t most_waiting = 64; ///< Changes that may wait to be written: a store that is away must not fill the memory.
-	size_t at_once = 4;       ///< Writes under way at a time: all instances together share the store's rate.
-	Duration write_limit = std::chrono::milliseconds(500); ///< Time after which a write is taken for lost, and made again.
-	Duration pause = std::chrono::milliseconds(300);       ///< Pause after a write that failed.
-	Duration others_after = std::chrono::seconds(2);       ///< Time after which others write again what a store has forgotten, if the one
-	                                                       ///< whose turn it is has not.
-	Duration cleared_kept = std::chrono::seconds(60);      ///< Time for which it is remembered what was taken out: as old as a copy gets.
-	size_t most_cleared = 256;                             ///< Most of them.
+	size_t most_waiting = 64;                              ///< Limit of unwritten changes, which pile up while the store is unavailable.
+	size_t at_once = 4;                                    ///< Concurrent writes; all instances together share the store's rate limit.
+	Duration write_limit = std::chrono::milliseconds(500); ///< Time after which a write is cancelled and repeated.
+	Duration pause = std::chrono::milliseconds(300);       ///< Delay after a failed write.
+	/** Delay after which other instances rewrite rows that a restored store lacks, if the instance in charge has not. */
+	Duration others_after = std::chrono::seconds(2);
+	Duration cleared_kept = std::chrono::seconds(60); ///< Time for which removals are remembered; at least the age of a backup.
+	size_t most_cleared = 256;                        ///< Limit of remembered removals.
 };
 
 /**
- * The table of ends: a row for each end that is held against a request. One of these rows or none is what ordinary days need, so the
- * table is followed by whoever follows the targets, and costs nothing while it doesn't change. What a store that comes back from a copy
- * has forgotten is written again by those that know it.
+ * The table of crash records, one row for each crash that counts against a request. It is usually empty, so it is read together with the
+ * table of targets and costs nothing while it does not change. After the store was restored from a backup, instances write rows that
+ * it lacks again.
  */
 class EndRecords {
 public:
 	using Handler = std::function<void(const std::vector<EndRecord> &added, const std::vector<EndRecord> &removed, TimePoint)>;
 
-	/** @param handler Gets what other instances have added and removed, and own changes once they come back. */
+	/** @param handler Receives changes of other instances, and own ones once the table contains them. */
 	EndRecords(TableStore &store, WatchLimits watch_limits, EndRecordLimits limits, std::string own_name, Handler handler);
 
-	/** Write \a end. @return False if too much waits already. */
+	/** Write \a end to the table. @return False if too many changes are pending. */
 	bool Add(const EndRecord &end);
 
-	/** Take \a end out. */
+	/** Remove \a end from the table. */
 	void Remove(const EndRecord &end);
 
-	/** The store has come back from a copy; the whole table follows. */
+	/** The store has been restored from a backup; a snapshot of the table follows. */
 	void OnOtherStore();
 
-	/** Time has passed. */
+	/** Send writes that are due; to be called at each tick. */
 	void OnTick(TimePoint now);
 
-	std::function<bool(const EndRecord &)> writes_first; ///< Tells whether it is this instance's turn to write an end again.
+	std::function<bool(const EndRecord &)> writes_first; ///< @return Whether this instance is in charge of rewriting a missing row.
 
-	/** @return Follows the table. */
+	/** @return The follower of the table. */
 	TableWatch &Watch() { return this->watch; }
 
-	/** @return Whether \a end is in the table, or is to be written to it. */
+	/** @return Whether \a end is in the table, or about to be written to it. */
 	bool Holds(const EndRecord &end) const { return this->listed.contains(end) || this->IsWaiting(end); }
 
-	/** @return Changes not yet written. */
+	/** @return Number of changes not yet written. */
 	size_t Waiting() const { return this->changes.size(); }
 
 private:
 	/** A change not yet written. */
 	struct Change {
-		bool add = true;     ///< The end is added; otherwise removed.
-		uint64_t call = 0;   ///< Call under way; 0 for none.
-		uint64_t number = 0; ///< Tells its answer from that of an earlier call.
-		TimePoint due;       ///< When it is written, or taken for lost.
+		bool add = true;     ///< Whether the row is added, or removed otherwise.
+		uint64_t call = 0;   ///< Write in progress; 0 for none.
+		uint64_t number = 0; ///< Distinguishes its answer from that of an earlier write.
+		TimePoint due;       ///< When the change is to be written, or its write times out.
 	};
 
 	bool IsWaiting(const EndRecord &end) const;
@@ -74,23 +74,23 @@
 	void OnRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
 	void WriteAgain(const std::set<EndRecord> &missing, TimePoint now);
 
-	TableStore &store;                      ///< Store.
-	EndRecordLimits limits;                 ///< Bounds.
-	std::string own_name;                   ///< Name of this instance, for whoever reads the rows.
-	Handler handler;                        ///< Gets what changes.
-	TableWatch watch;                       ///< Follows the table.
+	TableStore &store;
+	EndRecordLimits limits;
+	std::string own_name; ///< Name of this instance, the value of its rows.
+	Handler handler;
+	TableWatch watch;
 	std::map<EndRecord, Change> changes;    ///< Changes not yet written.
-	std::set<EndRecord> listed;             ///< Ends that the table holds, as far as known.
-	std::map<EndRecord, TimePoint> cleared; ///< Ends that this instance has taken out, and when.
-	bool forgotten = false;                 ///< The store may have lost rows: the whole table that comes next is checked.
-	TimePoint ticked_at;                    ///< When time last passed.
-	uint64_t next_number = 1;               ///< Number of the next write.
+	std::set<EndRecord> listed;             ///< Rows of the table, as far as known.
+	std::map<EndRecord, TimePoint> cleared; ///< Rows that this instance has removed, with the time.
+	bool forgotten = false;                 ///< The store may have lost rows, so the next snapshot is compared with the known rows.
+	TimePoint ticked_at;                    ///< Time of the last tick.
+	uint64_t next_number = 1;
 };
 
-/** @return The key of the row of \a end. */
+/** @return The key of the row for \a end. */
 std::string EndKey(const EndRecord &end);
 
-/** @return The end that the row \a key is for, or nothing. */
+/** @return The crash that the row \a key stands for, or nothing. */
 std::optional<EndRecord> ParseEndKey(std::string_view key);
 
 } // namespace cottonspool
--- a/src/gateway/end_watch.cpp
+++ b/src/gateway/end_watch.cpp
@@ -1,15 +1,15 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_watch.cpp Finds out whether a target that broke sends off has ended. */
+/** @file end_watch.cpp Finds out whether a target that interrupted sends has crashed. */
 
 #include "gateway/end_watch.h"
 #include <algorithm>
 
 namespace cottonspool {
 
-static constexpr uint32_t MOST_ASKS = 3; ///< Times that a target which breaks the sign of life off is asked for one.
+static constexpr uint32_t MOST_ASKS = 3; ///< Probes of a target that keeps breaking the connection.
 
-static constexpr size_t MOST_WITHDRAWN = 256; ///< Sends taken back that are remembered: those of two seconds of an instance.
+static constexpr size_t MOST_WITHDRAWN = 256; ///< Limit of remembered cancelled sends, about two seconds' worth.
 
 bool EndWatch::HasWithdrawn(const std::string &life) const
 {
@@ -51,7 +51,7 @@
 	auto done = [this, name, token = check.token](LifeSign sign) { this->OnSign(name, token, sign); };
 	const BrokenTarget &target = check.check.target;
 	UpstreamCall call = MakeLifeCall(target.address, target.life, target.path, done);
-	// This watch has a limit of its own, behind which the target counts as silent, not as refusing.
+	// Longer than this check's own timeout, after which the target counts as unreachable rather than refusing.
 	call.connect_limit = 2 * this->limit;
 	check.call = this->upstream.Start(std::move(call));
 }
@@ -60,7 +60,7 @@
 {
 	auto found = this->pending.find(name);
 	if (found == this->pending.end() || found->second.token != token) return;
-	// A process that ends takes connections until its socket is closed, and breaks them: asked again at the next tick, it refuses.
+	// A terminating process accepts and breaks connections until its socket is closed; the next probe is refused then.
 	if (sign == LifeSign::Broken && found->second.asks < MOST_ASKS) {
 		found->second.call = 0;
 		return;
@@ -85,7 +85,7 @@
 	check.took = now - found->second.begun;
 	this->pending.erase(found);
 	if (check.HasEnded()) this->TakeWithdrawn(check);
-	// Where some are known to have begun, those that still waited there have not ended it.
+	// Requests that were waiting while others had started did not crash the target.
 	auto begun = [](const BrokenSend &send) { return send.stage == RunStage::Begun; };
 	bool any_begun = std::any_of(check.sends.begin(), check.sends.end(), begun);
 	auto suspect = [&](const BrokenSend &send) { return !any_begun || begun(send); };
--- a/src/gateway/end_watch.h
+++ b/src/gateway/end_watch.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_watch.h Finds out whether a target that broke sends off has ended, and which requests it had just begun. */
+/** @file end_watch.h Finds out whether a target that interrupted sends has crashed, and which requests may have caused it. */
 
 #pragma once
 
@@ -12,73 +12,73 @@
 
 namespace cottonspool {
 
-/** A send that ended before its answer was whole. */
+/** A send that ended before its answer was complete. */
 struct BrokenSend {
-	RequestPrint print;                 ///< The request.
-	std::string request;                ///< Id of this try, for logs.
-	RunStage stage = RunStage::Waiting; ///< How far it had come.
+	RequestPrint print;
+	std::string request;                ///< Id of this attempt, for logs.
+	RunStage stage = RunStage::Waiting; ///< Progress of the request at the target.
 };
 
-/** Target that broke a send off. */
+/** The target of an interrupted send. */
 struct BrokenTarget {
-	TargetLife life;  ///< Which life of which target.
-	Endpoint address; ///< Where it was.
-	std::string path; ///< What it answers without doing work.
+	TargetLife life;
+	Endpoint address;
+	std::string path; ///< Path for the liveness probe, which causes no work.
 };
 
-/** What was found out about a target that broke sends off. */
+/** Result of checking a target that interrupted sends. */
 struct TargetCheck {
-	BrokenTarget target;             ///< Target.
-	std::optional<LifeSign> sign;    ///< What came of asking it; nothing if it stayed silent.
-	std::vector<BrokenSend> sends;   ///< Sends that it broke off and that may have ended it.
-	std::vector<BrokenSend> cleared; ///< Sends that it broke off and that have not ended it: others had begun there.
-	Duration took{0};                ///< Time from the first of them to the finding.
+	BrokenTarget target;
+	std::optional<LifeSign> sign;    ///< Result of the liveness probe; nothing if it timed out.
+	std::vector<BrokenSend> sends;   ///< Interrupted sends that may have crashed the target.
+	std::vector<BrokenSend> cleared; ///< Interrupted sends that were still waiting when others had started, and so did not crash it.
+	Duration took{0};                ///< Time from the first interrupted send to the result.
 
-	/** @return Whether it has ended: a target that stays silent may as well be cut off, or frozen. */
+	/** @return Whether the target has crashed; one that does not answer may just be unreachable or suspended. */
 	bool HasEnded() const { return this->sign == LifeSign::Refused || this->sign == LifeSign::OtherLife; }
 };
 
-/** Asks each target that breaks a send off for a sign of life, once for all sends that it breaks off together. */
+/** Sends a liveness probe to each target that interrupts a send, one for all its interrupted sends. */
 class EndWatch {
 public:
 	using Handler = std::function<void(const TargetCheck &)>;
 
-	/** @param lately Time for which a send that was taken back may still end its target. */
+	/** @param lately Time for which a cancelled send may still be the cause of a crash. */
 	EndWatch(HttpUpstream &upstream, Duration limit, Duration lately, Handler handler)
 	    : upstream(upstream), limit(limit), lately(lately), handler(std::move(handler))
 	{
 	}
 
-	/** \a target broke \a send off. @return Whether it counts as ended under it until it has answered. */
+	/** \a target interrupted \a send. @return Whether this counts as a crash under it until the probe has answered. */
 	bool OnBroken(const BrokenTarget &target, BrokenSend send, TimePoint now);
 
 	/**
-	 * \a send was taken back from the life \a life of a target, as its caller left: should it be found to have ended shortly after,
-	 * this may be what ended it.
+	 * \a send to the target incarnation \a life was cancelled, as its caller disconnected; it becomes a suspect if the target soon turns
+	 * out to have crashed.
 	 */
 	void OnWithdrawn(const std::string &life, BrokenSend send, TimePoint now);
 
-	/** The life \a life of a target has ended, as another one is listed or answers in its place. */
+	/** The target incarnation \a life has terminated, as another one is listed or answers at its address. */
 	void OnOtherLife(const std::string &life, TimePoint now);
 
-	/** Time has passed; to be called some times a second. */
+	/** Time out and repeat probes; to be called several times a second. */
 	void OnTick(TimePoint now);
 
 private:
-	/** A check under way. */
+	/** A check in progress. */
 	struct Pending {
-		TargetCheck check;  ///< What is known of it.
-		TimePoint begun;    ///< When it began.
-		uint64_t call = 0;  ///< Call under way; 0 while it is to be asked again.
-		uint32_t asks = 0;  ///< Times that it was asked.
-		uint64_t token = 0; ///< Tells its answer from that of an earlier check of the same target.
+		TargetCheck check;
+		TimePoint begun;    ///< Time of the first interrupted send.
+		uint64_t call = 0;  ///< Probe in progress; 0 if it is to be repeated.
+		uint32_t asks = 0;  ///< Probes sent.
+		uint64_t token = 0; ///< Distinguishes its answer from that of an earlier check of the same target.
 	};
 
-	/** A send that was taken back. */
+	/** A cancelled send. */
 	struct Withdrawn {
-		std::string life; ///< Where it was.
-		BrokenSend send;  ///< Send.
-		TimePoint at;     ///< When.
+		std::string life; ///< Target incarnation.
+		BrokenSend send;
+		TimePoint at; ///< Time of the cancellation.
 	};
 
 	bool HasWithdrawn(const std::string &life) const;
@@ -87,13 +87,13 @@
 	void OnSign(const std::string &name, uint64_t token, LifeSign sign);
 	void Conclude(const std::string &name, TimePoint now);
 
-	HttpUpstream &upstream;                 ///< Calls to targets.
-	Duration limit;                         ///< Longest wait for a sign of life.
-	Duration lately;                        ///< Time for which a send that was taken back may end its target.
-	std::deque<Withdrawn> withdrawn;        ///< Sends taken back lately, oldest first.
-	Handler handler;                        ///< Gets what was found out.
-	std::map<std::string, Pending> pending; ///< Checks under way by target.
-	uint64_t next_token = 1;                ///< Number of the next check.
+	HttpUpstream &upstream;
+	Duration limit;                  ///< Timeout of the probe.
+	Duration lately;                 ///< Time for which a cancelled send may be the cause of a crash.
+	std::deque<Withdrawn> withdrawn; ///< Recently cancelled sends, oldest first.
+	Handler handler;
+	std::map<std::string, Pending> pending; ///< Checks in progress by target incarnation.
+	uint64_t next_token = 1;
 };
 
 } // namespace cottonspool
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_exchange.cpp Finds the other instances and exchanges news with them. */
+/** @file peer_exchange.cpp Discovers the other instances and exchanges updates with them. */
 
 #include "gateway/peer_exchange.h"
 #include "core/hash_func.h"
@@ -10,19 +10,20 @@
 
 namespace cottonspool {
 
-/** Time whose worth of rows may be passed on at once: one configuration to a whole hall. */
+/** Burst of the budgets for rows, enough to send one configuration to a whole hall. */
 static constexpr Duration PASS_ON_SAVED = std::chrono::seconds(2);
-static const char *const HALL_LOAD_KEY = "hall-load"; ///< Key by which a hall's instances choose the one that tells the other halls.
-static const char *const INSTANCE_TABLE = "cottonspool-instances"; ///< Table in which instances find each other.
+/** Key for electing the instance of a hall that publishes its load to other halls. */
+static const char *const HALL_LOAD_KEY = "hall-load";
+static const char *const INSTANCE_TABLE = "cottonspool-instances"; ///< Table in which instances discover each other.
 
-/** @return Milliseconds since the epoch; grows with each start of an instance of the same name. */
+/** @return Milliseconds since the epoch, which grow with each start of an instance of the same name. */
 static uint64_t StartNumber()
 {
 	auto now = std::chrono::system_clock::now().time_since_epoch();
 	return static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-/** @return \a row as it stands in the store: its fields between blanks, the hall last, as its name may hold blanks. */
+/** @return The value of an instance's row: fields separated by blanks, the hall last, as its name may contain blanks. */
 static std::string EncodePlace(const PeerPlace &row)
 {
 	std::ostringstream text;
@@ -30,7 +31,7 @@
 	return text.str();
 }
 
-/** @return What \a text tells; fields that it lacks stay empty. */
+/** @return The location in \a text; missing fields stay empty. */
 static PeerPlace DecodePlace(const std::string &text)
 {
 	PeerPlace row;
@@ -99,7 +100,7 @@
 	}
 	if (auto presence = std::get_if<PresenceMessage>(&message)) {
 		this->OnPresence(*presence, now);
-		// Who divides the fleet in another way may take one of another cell for one of its own, which does not dial it.
+		// A sender with another division into cells may believe that this instance is in its cell, which does not connect back to it.
 		bool behind = presence->cells.decided < this->directory.Cells().decided || presence->instances < this->Instances();
 		if (behind) reply(this->Presence());
 	}
@@ -149,7 +150,7 @@
 	if (!this->directory.IsHallOnly() || message.relayed) return;
 	SignsMessage relayed = message;
 	bool own = message.hall == this->hall;
-	// The news of a hall reach the others through the one of its instances that has links there, and the one that they go to.
+	// Signals reach the other halls through the instance that has links there, and the one at the other end of such a link.
 	relayed.relayed = !own;
 	if (!own) this->links.Broadcast(relayed, this->relays);
 	if (own) {
@@ -185,8 +186,8 @@
 	this->watch.on_all = [this](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(rows, true); };
 	this->watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(rows, false); };
 	this->started = now;
-	// Whoever reads after its own row was written sees all that were written before, and those written later see it. Where rows are
-	// left from an earlier life it reads first: its own may stand there as it is, and most starts then need one call instead of two.
+	// An instance that writes its row first and then reads sees all rows written before, and later instances see its own. On a restart its
+	// row may still be there, so reading first usually saves the write.
 	if (this->limits.first_start) {
 		this->Register(now);
 	} else {
@@ -210,12 +211,12 @@
 {
 	this->registered = result == StoreWrite::Done;
 	this->register_at = now + this->limits.register_pause;
-	// A store that turns many away together must not be asked by all of them together again.
+	// Prevents all instances that a busy store rejected from retrying at the same time.
 	auto spread_ms = std::chrono::duration_cast<std::chrono::milliseconds>(this->limits.register_spread).count();
 	uint64_t spread = HashText(this->name, ++this->registrations) % static_cast<uint64_t>(spread_ms);
 	if (!this->registered) this->register_at += std::chrono::milliseconds(spread);
 	if (!this->reading) return this->BeginReading(now);
-	// Others may have been listed between the read and the write.
+	// Other rows may have been written between reading and writing.
 	if (this->registered) this->watch.CatchUp();
 }
 
@@ -234,7 +235,7 @@
 void PeerExchange::OnOtherStore(TimePoint now)
 {
 	this->list_forgotten = true;
-	// A call that is under way may have written to the former store.
+	// A write in progress may have gone to the store before it was restored.
 	if (this->register_call != 0) this->store.Cancel(this->register_call);
 	this->register_call = 0;
 	auto spread_ms = std::chrono::duration_cast<std::chrono::milliseconds>(this->limits.register_spread).count();
@@ -259,10 +260,10 @@
 	for (const StoredRow &row : rows) {
 		PeerPlace place = DecodePlace(row.value);
 		bool own = row.key == this->name;
-		// The removal that an earlier life of this instance asked for may be done late: the row is then written again at a tick,
-		// with a pause after a failure, however often news come.
+		// A delayed removal by the previous incarnation may delete the new row; it is then written again at the next tick, or after the
+		// retry delay.
 		if (own) this->registered = !row.deleted && place.address == this->address && place.hall == this->hall;
-		// A row that names no address is another writer's: it names nobody to talk to.
+		// The row belongs to another writer and has no usable address.
 		if (row.deleted || !ParseEndpoint(place.address)) {
 			this->directory.Remove(row.key);
 		} else {
@@ -309,13 +310,13 @@
 
 bool PeerExchange::HearsMost() const
 {
-	// This instance is among the readers, and not among those listed.
+	// Unlike the list of peers, the readers include this instance.
 	return 2 * (this->readers.size() - 1) >= this->directory.Exchanging();
 }
 
 std::vector<std::string> PeerExchange::KnownInstances() const
 {
-	// One that started among others knows few of them at first: it would take too large a share of what all divide.
+	// An instance that has just started knows few others, and would take too large a share of the limits that all divide.
 	static constexpr double MOST_OF_THEM = 0.9;
 	bool knows = this->watch.IsKnown() && static_cast<double>(this->directory.Size() + 1) >= MOST_OF_THEM * this->instances_told;
 	std::vector<std::string> names = this->directory.Names();
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_exchange.h Finds the other instances in the store and exchanges news of calls and reports with them. */
+/** @file peer_exchange.h Discovers the other instances in the store and exchanges updates of calls, reports and tables with them. */
 
 #pragma once
 
@@ -14,164 +14,167 @@
 
 namespace cottonspool {
 
-/** Times of the exchange. */
+/** Timeouts and limits of the exchange. */
 struct ExchangeLimits {
-	Duration heartbeat = std::chrono::milliseconds(500);     ///< Least time between heartbeats.
-	Duration heartbeat_each = std::chrono::milliseconds(40); ///< Time between heartbeats for each live peer: their number stays bounded.
-	double silences = 3.6;                                 ///< Heartbeats missed after which a peer is forgotten: three and a lost packet.
-	Duration news_wait = std::chrono::milliseconds(120);   ///< Longest time for which news that is not urgent waits for company.
-	double link_mbps = 0;                                  ///< Speed of this instance's link, told to the others, in Mbit/s; 0 if unknown.
-	Duration urgent_each = std::chrono::microseconds(500); ///< Pause between urgent news for each link: with many peers several go out
-	                                                       ///< together, as each costs each of them a wake-up.
-	bool tell_calls = true;                                ///< Tell the others where own calls run.
-	bool tell_halls = true;                                ///< Halls tell each other sums of their targets' load.
-	Duration hall_load_period = std::chrono::milliseconds(150); ///< Least time between such sums.
-	/** Time between sums for each of them: some 10 KB a second from each hall at most, of 25 bytes a sum. With 1,000 engines a hall and
-	 *  100 instances that a relay passes them on to, 8 Mbit/s from each hall (by arithmetic). */
+	Duration heartbeat = std::chrono::milliseconds(500); ///< Shortest interval between heartbeats.
+	/** Interval between heartbeats for each live peer, which bounds the number that an instance receives. */
+	Duration heartbeat_each = std::chrono::milliseconds(40);
+	double silences = 3.6;                               ///< Missed heartbeats after which a peer is forgotten; a fraction of one is slack.
+	Duration news_wait = std::chrono::milliseconds(120); ///< Longest delay for batching updates that are not urgent.
+	double link_mbps = 0; ///< Speed of this instance's network link, published to peers, in Mbit/s; 0 if unknown.
+	/** Interval between urgent updates for each link; with many peers, batching saves wake-ups. */
+	Duration urgent_each = std::chrono::microseconds(500);
+	bool tell_calls = true;                                     ///< Publish the calls of this instance.
+	bool tell_halls = true;                                     ///< Publish sums of the load of the hall's targets to other halls.
+	Duration hall_load_period = std::chrono::milliseconds(150); ///< Shortest interval between such messages.
+	/** Interval for each sum in such a message, which bounds the bytes sent to large systems. */
 	Duration hall_load_each = std::chrono::microseconds(2500);
-	Duration hall_idle_period = std::chrono::seconds(1); ///< Time between messages that tell of no load at all.
-	bool share_reports = true;                           ///< One instance reads an engine's reports for all.
-	double pass_on_bytes = 256e3;   ///< Bytes of rows that may be passed on in a second; beyond, each one reads them itself.
-	double hand_over_bytes = 640e3; ///< The same for whole tables handed to instances that start; those turn to others beyond.
-	Duration settle = std::chrono::milliseconds(600); ///< Time after the start in which this instance doesn't read for others: those that
-	                                                  ///< start together need it to hear of each other, and each would take itself for the
-	                                                  ///< first until then (61 instances: 241 calls that follow a table in two seconds).
-	Duration ask_pause =
-	        std::chrono::milliseconds(400);      ///< Time for tables that were asked for to come, after which another instance is asked.
-	Duration ask_kept = std::chrono::seconds(2); ///< Time for which an instance that asked too early is remembered.
-	Duration list_wait = std::chrono::milliseconds(300);   ///< Time after the start at which tables are read though nobody is known.
-	Duration list_quiet = std::chrono::milliseconds(1500); ///< At the first start of all: time without a new instance after which they are
-	                                                       ///< taken for complete.
-	Duration list_most = std::chrono::seconds(8);          ///< Longest wait for that.
-	Duration table_wait = std::chrono::seconds(3);         ///< Time after which a table that nobody tells is read here.
-	Duration table_wait_each =
-	        std::chrono::milliseconds(250);                 ///< Further time for each instance that comes before in the order of readers.
-	Duration readers_look = std::chrono::milliseconds(200); ///< Time between looks at who reads for whom.
-	DialLimits dial;                                        ///< Dialling of peers.
-	bool first_start = false;                               ///< The whole system starts for the first time: nobody is listed yet.
-	Duration register_limit = std::chrono::seconds(4);  ///< Time after which a write of this instance's row is given up: a store that is
-	                                                    ///< asked by all at once works them off one after another.
-	Duration register_pause = std::chrono::seconds(1);  ///< Pause before it is written again after a failure.
-	Duration register_spread = std::chrono::seconds(1); ///< Time over which the instances write theirs again that a store has forgotten.
+	Duration hall_idle_period = std::chrono::seconds(1); ///< Interval between such messages if they report no load at all.
+	bool share_reports = true;                           ///< One instance fetches an engine's reports for all.
+	double pass_on_bytes = 256e3;   ///< Budget for forwarded rows, in bytes a second; beyond it, receivers read the rows themselves.
+	double hand_over_bytes = 640e3; ///< Budget for snapshots to instances that start, in bytes a second; beyond it, they turn to others.
+	/**
+	 * Time after the start in which this instance does not read for others. Instances that start together need it to discover each other;
+	 * each would consider itself the only reader until then.
+	 */
+	Duration settle = std::chrono::milliseconds(600);
+	Duration ask_pause = std::chrono::milliseconds(400); ///< Timeout of a request for tables, after which another instance gets it.
+	Duration ask_kept = std::chrono::seconds(2);         ///< Time for which a request for tables that are not known yet is stored.
+	/** Time after the start at which tables are read even if the list of instances is unknown. */
+	Duration list_wait = std::chrono::milliseconds(300);
+	/** When the system is bootstrapped: time without new instances after which their list counts as complete. */
+	Duration list_quiet = std::chrono::milliseconds(1500);
+	Duration list_most = std::chrono::seconds(8);  ///< Longest wait for that.
+	Duration table_wait = std::chrono::seconds(3); ///< Time after which a table that no peer sends is read from the store.
+	/** Additional time for each instance that precedes in the order of readers. */
+	Duration table_wait_each = std::chrono::milliseconds(250);
+	Duration readers_look = std::chrono::milliseconds(200); ///< Interval for updating which instance reads for which.
+	DialLimits dial;                                        ///< Connecting to peers.
+	bool first_start = false;                               ///< The system is bootstrapped, so no instance is listed yet.
+	/** Timeout for writing this instance's row; a store that gets the rows of all instances at once needs time for them. */
+	Duration register_limit = std::chrono::seconds(4);
+	Duration register_pause = std::chrono::seconds(1); ///< Delay after a failed write of the row.
+	/** Random delay before the row is written to a restored store or after a failure, as all instances do so. */
+	Duration register_spread = std::chrono::seconds(1);
+	/** Following the table of instances, which seldom changes. */
 	WatchLimits watch{.wait = std::chrono::seconds(10),
 	                  .patience = std::chrono::seconds(13),
 	                  .patience_most = std::chrono::seconds(15),
 	                  .gaps = true,
-	                  .pause_most = std::chrono::seconds(4)}; ///< Following the instances: they change seldom, and each look is paid for.
+	                  .pause_most = std::chrono::seconds(4)};
 };
 
-/** How tables are taken in at the start. */
+/** Where an instance that starts gets the tables from. */
 enum class TableStart : uint8_t {
 	NotYet, ///< The other instances are not known yet.
-	Read,   ///< Each instance reads them: there are few.
-	Ask,    ///< They are asked of the others, and read by one of them.
+	Read,   ///< Each instance reads the store, as there are few.
+	Ask,    ///< One instance reads the store, and the others request the tables from peers.
 };
 
-/** The exchange of one instance. */
+/** Exchanges updates with the other instances, for one instance. */
 class PeerExchange {
 public:
-	/** Called with each report that a peer has read. */
+	/** Receives each report that a peer has fetched. */
 	using ReportHandler = std::function<void(const ReportNews &)>;
 
 	PeerExchange(uv_loop_s *loop, TableStore &store, PeerLoad &load, std::string name, std::string hall, ExchangeLimits limits,
 	             ReportHandler on_report);
 
-	std::function<HallLoadMessage(TimePoint)> make_hall_load;  ///< Tells the load of the own hall's targets; asked some times a second.
-	std::function<void(const HallLoadMessage &)> on_hall_load; ///< Called with what another hall tells.
+	std::function<HallLoadMessage(TimePoint)> make_hall_load;  ///< @return The load of the hall's targets; called several times a second.
+	std::function<void(const HallLoadMessage &)> on_hall_load; ///< Receives the load of another hall.
 
-	std::function<std::vector<SignNews>(TimePoint)> known_signs; ///< Tells what targets say of themselves now; asked when a link opens.
-	std::function<void(const SignNews &)> on_signs;              ///< Called with what another instance has heard of a target.
+	/** @return All signals of targets known here; called when a link opens. */
+	std::function<std::vector<SignNews>(TimePoint)> known_signs;
+	std::function<void(const SignNews &)> on_signs; ///< Receives a signal that another instance got from a target.
 
-	std::function<uint32_t(const LeaseAskMessage &)> on_lease_ask; ///< Answers an ask for a part of a share.
-	std::function<void(const LeaseGrantMessage &)> on_lease_grant; ///< Called with such an answer of another instance.
+	std::function<uint32_t(const LeaseAskMessage &)> on_lease_ask; ///< @return The part of a share that is lent to another instance.
+	std::function<void(const LeaseGrantMessage &)> on_lease_grant; ///< Receives the answer to a lease request.
 
-	/** Send \a ask to \a owner, if there is a link to it. */
+	/** Send \a ask to \a owner if there is a link to it. */
 	void AskLease(const std::string &owner, const LeaseAskMessage &ask);
 
-	/** Share the reading of \a watch with the others. */
+	/** Share reads of \a watch with the peers. */
 	void Share(TableWatch &watch);
 
-	std::function<void(TimePoint)>
-	        on_listed; ///< Called when the list of instances was read whole, and when the number of cells has changed.
+	std::function<void(TimePoint)> on_listed; ///< Called when the list of instances is complete, and when the number of cells changes.
 
-	/** The targets in \a table are divided among cells as \a own tells: told with the whole table, and set by others. */
+	/** Send the division \a own of the targets in \a table among cells along with snapshots of it, and update it from peers. */
 	void ShareDivision(TargetDivision &own, const std::string &table)
 	{
 		this->division = &own;
 		this->divided_table = table;
 	}
 
-	/** @return How tables that all instances need are to be taken in at the start. */
+	/** @return Where the tables that all instances need should be read from at the start. */
 	TableStart StartOfTables(TimePoint now) const;
 
-	/** @return Time after which a table that this instance asks others for is to be read here: none at the one that reads for all. */
+	/** @return Time after which a table requested from peers is read from the store; zero at the instance that reads for all. */
 	Duration WaitForTable() const;
 
 	/** @return Number of cells. */
 	uint32_t Cells() const { return this->directory.Cells().cells; }
 
-	/** @return Follows the instances. */
+	/** @return The follower of the table of instances. */
 	TableWatch &Watch() { return this->watch; }
 
-	/** The store has come back from a copy; the whole list of instances follows. */
+	/** The store has been restored from a backup; a snapshot of the list of instances follows. */
 	void OnOtherStore(TimePoint now);
 
-	/** Share the reading of \a watch with the others: whoever reads \a lead for all reads it too. */
+	/** Share reads of \a watch with the peers; the instance that reads \a lead for all reads it as well. */
 	void ShareWith(TableWatch &watch, TableWatch &lead);
 
-	/** While \a first has lost the store, leave finding out that it is back to it. */
+	/** While the store is unavailable, probe it only through \a first. */
 	void WaitForReturnAt(const TableWatch &first) { this->watch.WaitForReturnAt(first); }
 
-	/** Exchange news with the instances of the own hall only, or with all unless they are too many. */
+	/** Exchange updates only inside the local hall, or with all instances up to a limit. */
 	void SetHallOnly(bool only);
 
-	/** @return Whether news are exchanged inside the own hall only. */
+	/** @return Whether updates are exchanged only inside the local hall. */
 	bool IsHallOnly() const { return this->directory.IsHallOnly(); }
 
-	/** Listen on \a at and begin to look for the others. */
+	/** Listen at \a at and start to discover the other instances. */
 	Result<void> Start(const Endpoint &at, TimePoint now);
 
-	/** This instance stops: take its row away. */
+	/** Remove this instance's row from the store, as it stops. */
 	void Leave();
 
-	/** A call of this instance is at a target, or is further on there. */
+	/** Publish that a call of this instance runs at a target, or has advanced there. @param at_once Don't wait for a batch. */
 	void TellAt(const CallSpec &call, const std::string &pool, const std::string &target, uint32_t generated, bool at_once);
 
-	/** A call of this instance has ended. */
+	/** Publish that a call of this instance has ended. */
 	void TellEnded(CallId call);
 
-	/** A report was read. */
+	/** Publish a report that was fetched here. */
 	void TellReport(const std::string &target, const LoadReport &report);
 
-	/** A target has said \a news of itself with the answer to a request that was asked at \a asked: told with the next tick. */
+	/** Publish a signal \a news that a target sent with the answer to a request of time \a asked, at the next tick. */
 	void TellSigns(SignNews news, TimePoint asked);
 
-	/** Time has passed; to be called some times a second. */
+	/** Send what is due; to be called several times a second. */
 	void OnTick(TimePoint now);
 
-	/** Send what is waiting to be told. */
+	/** Send all pending updates of calls and reports. */
 	void Flush();
 
-	/** @return Whether this instance reads the reports of \a target for itself and its peers. */
+	/** @return Whether this instance fetches the reports of \a target for itself and its peers. */
 	bool ReadsReportsOf(const std::string &target) const;
 
-	/** @return Instances that the store lists, this one included; zero before the list was read. */
+	/** @return Number of instances in the store, including this one; zero before the list was read. */
 	size_t Instances() const;
 
-	/** @return Names of the instances of the own cell that the store lists, this one included; none while most of all are not known here.
-	 */
+	/** @return Names of the listed instances of the local cell, including this one; none while most of them are unknown. */
 	std::vector<std::string> KnownInstances() const;
 
 	/**
-	 * @return Names of the instances that share what a target in \a hall takes from all instances: those of that hall, as most of what
-	 *         it gets comes from them, or all where that hall has none; none while most instances are not known here.
+	 * @return Names of the instances that share a rate limit of a target in \a hall: those of that hall, which send it most requests, or
+	 *         all if the hall has none; none while most instances are unknown.
 	 */
 	std::vector<std::string> SharersOf(const std::string &hall) const;
 
-	/** @return Whether most of those that are listed in the own cell and exchange news with this instance were heard lately. */
+	/** @return Whether most peers with which this instance exchanges updates are alive. */
 	bool HearsMost() const;
 
-	/** @return Open links to others. */
+	/** @return Number of open links to peers. */
 	size_t Links() const { return this->links.OpenLinks(); }
 
 private:
@@ -183,21 +186,21 @@
 	void AskTables(TimePoint now);
 	void OnTablesAsk(const TablesAskMessage &ask, const PeerLinks::Reply &reply, TimePoint now);
 	void AnswerAsks(TimePoint now);
-	/** Tell those tables that \a ask wants which are known here, as far as the link bears it now, and take them off it. */
+	/** Answer \a ask with the requested tables that are known here, within the budget, and remove them from it. */
 	void AnswerAsk(TablesAsk &ask, TimePoint now);
-	/** @return The message that tells \a table whole; null while it is not known here. */
+	/** @return The encoded snapshot of \a table; null while the table is unknown. */
 	const std::string *WholeTable(const std::string &table);
-	/** @return Whether \a message tells all targets. */
+	/** @return Whether \a message contains a snapshot of the targets. */
 	bool TellsTargets(const TablesMessage &message) const;
-	/** Take over how the teller of \a message divides the targets, if it tells all of them. */
+	/** Adopt the division of the targets in \a message, if it contains a snapshot of them. */
 	void NoteParts(const TablesMessage &message);
-	/** Add to \a message how the targets are divided, if it tells all of them. */
+	/** Add the division of the targets to \a message, if it contains a snapshot of them. */
 	void AddParts(TablesMessage &message) const;
-	/** @return Names of the instances of the own hall and cell, this one included, in the order in which tables go from one to others. */
+	/** @return Names of the instances of the local hall and cell, including this one, in the order in which tables are forwarded. */
 	std::vector<std::string> HallOrder() const;
-	/** @return Addresses of those that are linked, in the order in which they are asked; \a order is that of the hall. */
+	/** @return Addresses of connected instances from which tables can be requested. @param order Order of the hall. */
 	std::vector<std::string> Askable(const std::vector<std::string> &order) const;
-	/** @return This instance and all that are listed in its cell, with the speed of their links. */
+	/** @return This instance and all listed ones of its cell, with the speed of their network links. */
 	std::vector<Reader> Listed() const;
 	void OnCellsChanged(TimePoint now);
 	void TellTables(TablesMessage message, const std::set<std::string> &except);
@@ -215,72 +218,72 @@
 	void OnRows(const std::vector<StoredRow> &rows, bool all);
 	void ForgetPeers();
 	void Dial(TimePoint now);
-	/** @return This instance and its live peers, with the speed of their links. */
+	/** @return This instance and its live peers, with the speed of their network links. */
 	std::vector<Reader> Readers() const;
 	LoadMessage Whole() const;
 
-	TableStore &store;                ///< Store.
-	PeerLoad &load;                   ///< Calls of others.
-	std::string name;                 ///< Name of this instance.
-	std::string hall;                 ///< Data hall it stands in.
-	uint64_t incarnation;             ///< Its start.
-	ExchangeLimits limits;            ///< Times.
-	TableSharing sharing;             ///< Tables whose reading is shared.
-	ReportHandler on_report;          ///< Gets reports that others read.
-	PeerLinks links;                  ///< Links.
-	TableWatch watch;                 ///< Follows the instances.
-	std::string address;              ///< Own address for peers.
+	TableStore &store;
+	PeerLoad &load;       ///< Calls of the peers.
+	std::string name;     ///< Name of this instance.
+	std::string hall;     ///< Hall of this instance.
+	uint64_t incarnation; ///< Incarnation of this instance.
+	ExchangeLimits limits;
+	TableSharing sharing; ///< Tables whose reads are shared.
+	ReportHandler on_report;
+	PeerLinks links;
+	TableWatch watch;                 ///< Follows the table of instances.
+	std::string address;              ///< Address of this instance for peers.
 	PeerDirectory directory;          ///< Other instances.
-	std::set<std::string> relays;     ///< Addresses in other halls to which only news of tables go.
-	uint32_t instances_told = 0;      ///< Most instances that were known at once, here or to a peer.
-	std::map<uint64_t, CallNews> own; ///< Own calls at targets.
-	LoadMessage waiting;              ///< News not yet sent.
-	/** News of what a target says of itself, not yet sent. */
+	std::set<std::string> relays;     ///< Addresses in other halls that only get updates of tables, signals and load sums.
+	uint32_t instances_told = 0;      ///< Largest number of instances known at a time, here or at a peer.
+	std::map<uint64_t, CallNews> own; ///< Own calls at targets by number.
+	LoadMessage waiting;              ///< Pending updates of calls and reports.
+	/** A pending signal of a target. */
 	struct WaitingSigns {
-		SignNews news;   ///< News.
-		TimePoint asked; ///< When the request was asked whose answer said so.
+		SignNews news;
+		TimePoint asked; ///< When the request was sent whose answer contained it.
 	};
-	std::map<std::string, WaitingSigns> waiting_signs; ///< By target.
-	/** An instance that asked for tables before they were known here. */
+	std::map<std::string, WaitingSigns> waiting_signs; ///< Pending signals by target.
+	/** A stored request for tables. */
 	struct TablesAsk {
-		TablesAskMessage ask;   ///< What it asked.
-		PeerLinks::Reply reply; ///< Answers it.
-		TimePoint until;        ///< It is forgotten then.
+		TablesAskMessage ask;
+		PeerLinks::Reply reply;
+		TimePoint until; ///< When it expires.
 	};
-	/** A message that tells a table whole. */
+	/** An encoded message with the snapshot of a table. */
 	struct WholeMessage {
 		StoreVersion version; ///< Version of the table.
-		std::string bytes;    ///< Message, encoded.
+		std::string bytes;
 	};
-	std::vector<TablesAsk> asks;                      ///< Those that wait for an answer.
-	std::map<std::string, WholeMessage> whole_tables; ///< By table, as it was last told to one of them.
-	std::string asked_first;                          ///< Address of the first in the order that was asked.
-	bool asks_halls = false;                          ///< This instance asks other halls for tables, for its own.
-	TimePoint asks_at;                                ///< When they are next looked at.
-	TargetDivision *division = nullptr;               ///< How targets are divided among cells; null if they are not.
-	std::string divided_table;                        ///< Table of the targets.
-	TimePoint ask_at;                                 ///< When tables are next asked for.
-	size_t asked = 0;                                 ///< Asks so far.
-	TimePoint list_changed;                           ///< When an instance last became known.
-	ByteBudget pass_on;                               ///< Rows that may be passed on.
-	ByteBudget hand_over;                             ///< Whole tables that may be handed over.
-	TimePoint waiting_since;                          ///< When the first of them came up.
-	TimePoint flushed_at;                             ///< When news last went out.
-	bool urgent = false;                              ///< Some of what waits is urgent.
-	TimePoint started;                                ///< When the exchange began.
-	TimePoint sent_at;                                ///< When news was last sent.
-	bool tells_halls = false;                         ///< This instance tells other halls for its own.
-	TimePoint tell_halls_at;                          ///< When it does next.
-	TimePoint told_halls_at;                          ///< When it last did.
-	bool told_empty = false;                          ///< It told of no load then.
-	TimePoint readers_at;                             ///< When it was last looked who reads for whom.
-	TimePoint register_at;                            ///< When the own row is written next.
-	uint64_t registrations = 0;                       ///< Writes of the own row that have ended.
-	bool registered = false;                          ///< The own row is in the store.
-	bool leaving = false;                             ///< This instance stops: its row is not written any more.
-	bool reading = false;                             ///< Reading of the other instances' rows has begun.
-	bool list_forgotten = false;      ///< The store may have lost rows of instances: those that are linked live all the same.
-	uint64_t register_call = 0;       ///< Call under way that writes it.
+	std::vector<TablesAsk> asks;                      ///< Stored requests for tables.
+	std::map<std::string, WholeMessage> whole_tables; ///< Latest snapshot sent of each table.
+	std::string asked_first;                          ///< Address of the first candidate that has got a request.
+	bool asks_halls = false;                          ///< Whether this instance requests tables from other halls, for its own hall.
+	TimePoint asks_at;                                ///< When stored requests are next handled.
+	TargetDivision *division = nullptr;               ///< Division of the targets among cells; null for none.
+	std::string divided_table;                        ///< Name of the table of targets.
+	TimePoint ask_at;                                 ///< When tables are next requested.
+	size_t asked = 0;                                 ///< Requests sent so far.
+	TimePoint list_changed;                           ///< When the list of instances last changed.
+	ByteBudget pass_on;                               ///< Budget for forwarded rows.
+	ByteBudget hand_over;                             ///< Budget for snapshots.
+	TimePoint waiting_since;                          ///< When the first pending update was added.
+	TimePoint flushed_at;                             ///< When updates were last sent.
+	bool urgent = false;                              ///< Whether a pending update is urgent.
+	TimePoint started;                                ///< When the exchange started.
+	TimePoint sent_at;                                ///< When the last heartbeat was sent.
+	bool tells_halls = false;                         ///< Whether this instance publishes the load of its hall to other halls.
+	TimePoint tell_halls_at;                          ///< When it does so next.
+	TimePoint told_halls_at;                          ///< When it did so last.
+	bool told_empty = false;                          ///< Whether that reported no load.
+	TimePoint readers_at;                             ///< When the readers were last updated.
+	TimePoint register_at;                            ///< When this instance's row is written next, or its write times out.
+	uint64_t registrations = 0;                       ///< Finished writes of the row.
+	bool registered = false;                          ///< Whether the row is in the store.
+	bool leaving = false;                             ///< This instance stops, so its row is not written any more.
+	bool reading = false;                             ///< Reading the table of instances has started.
+	bool list_forgotten = false;      ///< The store may have lost rows, so connected instances missing from the next snapshot are kept.
+	uint64_t register_call = 0;       ///< Write of the row in progress; 0 for none.
 	std::vector<std::string> readers; ///< This instance and its live peers.
 };
 
--- a/src/gateway/peer_tables.cpp
+++ b/src/gateway/peer_tables.cpp
@@ -1,6 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_tables.cpp Tables of the store that instances tell each other: changes as they are read, whole ones to those that start. */
+/**
+ * @file peer_tables.cpp Distribution of the store's tables between instances: updates as they are read, snapshots to instances that start.
+ */
 
 #include "gateway/peer_exchange.h"
 #include "metrics/log.h"
@@ -15,7 +17,7 @@
 	std::string bytes = EncodePeerMessage(message);
 	bool has_rows = std::any_of(message.tables.begin(), message.tables.end(), [](const TableNews &news) { return !news.rows.empty(); });
 	if (has_rows && !this->pass_on.Take(static_cast<double>(bytes.size() * this->links.OpenLinks()), MonotonicNow())) {
-		// Too much to pass on: a sign of life that is ahead of the others makes each of them read the change itself.
+		// Too many bytes to forward: a heartbeat that advertises the new version makes the receivers read the rows themselves.
 		for (TableNews &news : message.tables) news = {news.table, news.to, news.to, false, true, {}, news.read};
 		bytes = EncodePeerMessage(message);
 	}
@@ -31,20 +33,20 @@
 
 TableStart PeerExchange::StartOfTables(TimePoint now) const
 {
-	// One that exchanges nothing with others never learns of them.
+	// Without a listener for peers, other instances never become known.
 	if (this->started == TimePoint{}) return TableStart::Read;
 	Duration since = now - this->started;
 	if (!this->watch.IsKnown()) return since < this->limits.list_wait || this->limits.first_start ? TableStart::NotYet : TableStart::Read;
-	// Who starts with all others sees them come one by one: how many there will be shows when no more do.
+	// When all instances start together they appear one by one; the list is complete when no more appear.
 	bool complete = now - this->list_changed >= this->limits.list_quiet || since >= this->limits.list_most;
 	if (this->limits.first_start && !complete) return TableStart::NotYet;
-	// A list of few targets is read faster than handed over; of a divided fleet's list each would read many times what it needs.
+	// A short list is read faster than transferred. In a system with cells, each instance would read much more than it needs.
 	return this->Cells() > 1 ? TableStart::Ask : TableStart::Read;
 }
 
 Duration PeerExchange::WaitForTable() const
 {
-	// The first of all is the one that the other halls dial to be told of tables.
+	// The first instance in this order is the one that other halls connect to for tables.
 	std::vector<std::string> order = ReaderOrder(RELAY_KEY, this->Listed());
 	auto place = std::find(order.begin(), order.end(), this->name) - order.begin();
 	return place == 0 ? Duration(0) : this->limits.table_wait + this->limits.table_wait_each * place;
@@ -66,7 +68,7 @@
 	auto add = [&](const std::string &address) {
 		if (this->links.StateOf(address) == LinkState::Open) askable.push_back(address);
 	};
-	// The first of a hall has it from another hall, and the others of the hall from it.
+	// The first instance of a hall requests tables from another hall, the rest of the hall from the first one.
 	if (order.front() == this->name) std::for_each(this->relays.begin(), this->relays.end(), add);
 	for (const std::string &peer : order) {
 		if (peer != this->name) add(this->directory.Find(peer)->address);
@@ -85,7 +87,7 @@
 	if (this->asks_halls) this->Dial(now);
 	std::vector<std::string> askable = this->Askable(order);
 	if (askable.empty()) return;
-	// The first in the order is asked as soon as it is linked; the others in turn, as long as nobody has answered.
+	// The first candidate is used as soon as it is connected, the others in turn until one answers.
 	bool again = now >= this->ask_at;
 	bool first = askable.front() != this->asked_first;
 	if (!first && !again) return;
@@ -105,7 +107,8 @@
 
 void PeerExchange::AnswerAsks(TimePoint now)
 {
-	static constexpr Duration PAUSE = std::chrono::milliseconds(100); // Many ask while nothing has changed here.
+	static constexpr Duration PAUSE =
+	        std::chrono::milliseconds(100); // Answering is pointless at each tick, as usually nothing has changed.
 	std::erase_if(this->asks, [&](const TablesAsk &each) { return now >= each.until; });
 	if (this->asks.empty() || now < this->asks_at) return;
 	this->asks_at = now + PAUSE;
@@ -115,10 +118,10 @@
 
 void PeerExchange::AnswerAsk(TablesAsk &ask, TimePoint now)
 {
-	// What is known is told at once: who reads one table may wait for another one itself.
+	// Each table is sent as soon as it is known: the instance that reads one table may wait for another one itself.
 	for (auto table = ask.ask.tables.begin(); table != ask.ask.tables.end();) {
 		const std::string *answer = this->WholeTable(*table);
-		// Beyond what the link bears the asker turns to another one, which has them by then.
+		// Beyond the budget, the requesting instance turns to another one, which has the tables by then.
 		if (answer == nullptr || !this->hand_over.Take(static_cast<double>(answer->size()), now)) {
 			++table;
 			continue;
--- a/src/gateway/relay_call.cpp
+++ b/src/gateway/relay_call.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file relay_call.cpp One caller's request: what plain requests and streams share. */
+/** @file relay_call.cpp One caller's request: the common part of buffered and streamed answers, and the buffered ones. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
@@ -9,9 +9,9 @@
 
 namespace cottonspool {
 
-static constexpr int RANKS = 3;                                              ///< Ranks of routes told apart behind one rank of an account.
-static constexpr int LEAST_URGENT = 9;                                       ///< Largest number that stands for an urgency at engines.
-static constexpr Duration LEAST_RETRY_AFTER = std::chrono::milliseconds(50); ///< Least time told to come back after.
+static constexpr int RANKS = 3;        ///< Priorities of routes that are distinguished within one priority of an account.
+static constexpr int LEAST_URGENT = 9; ///< Largest value of the urgency at engines.
+static constexpr Duration LEAST_RETRY_AFTER = std::chrono::milliseconds(50);
 
 RelayCall::RelayCall(Gateway &gateway, std::shared_ptr<FrontExchange> exchange, RelayRequest request)
     : gateway(gateway), exchange(std::move(exchange)), request(std::move(request))
@@ -108,7 +108,7 @@
 
 int RelayCall::Urgency() const
 {
-	// The account's rank goes first; among requests of equal rank the route's own decides.
+	// The account's priority goes first; the route's priority decides between equal accounts.
 	return std::clamp(RANKS * this->request.rank + std::min(this->request.route.rank, RANKS - 1), 0, LEAST_URGENT);
 }
 
@@ -144,7 +144,7 @@
 void RelayCall::OnTick(TimePoint now)
 {
 	if (this->over || now + this->gateway.limits.answer_slack < this->request.ends_at) return;
-	// The last moment for an answer: what was sent may have run, what was not has not.
+	// After the deadline, requests in flight may have been executed, waiting ones have not.
 	bool sent = this->target.has_value();
 	if (this->link != 0) this->gateway.upstream.Cancel(this->link);
 	this->link = 0;
@@ -161,7 +161,7 @@
 	auto keep = this->shared_from_this();
 	uint64_t ended = this->link;
 	this->gateway.upstream.Cancel(ended);
-	this->OnEnd(ended, UpstreamEnd::Broken, "its target has ended");
+	this->OnEnd(ended, UpstreamEnd::Broken, "the target has terminated");
 }
 
 void RelayCall::OnQuarantined()
@@ -293,7 +293,8 @@
 	}
 	if (info.not_run) return this->EndSend(NotRunEnd(info));
 	bool unusable = status / 100 == 2 && !info.stamped;
-	// Only the target's own word says that it has not run the request: its status alone must not promise that to the caller.
+	// Only the target's explicit signal means that the request was not executed. These statuses would promise that to the caller as well,
+	// so they are not forwarded without the signal.
 	bool promises = status == 503 || status == 429 || status == 408 || status == 421;
 	if (!unusable && !promises && status < 500) return this->Deliver(this->answer);
 	if (!unusable && !promises) this->kept = this->answer;
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file relay_call.h One caller's request on its way to a target and back: what plain requests and streams share. */
+/** @file relay_call.h One caller's request on its way to a target and back: the common part of buffered and streamed answers. */
 
 #pragma once
 
@@ -13,7 +13,7 @@
 
 class Gateway;
 
-/** @return How a send ended that the target says it has not run, with \a info. */
+/** @return The outcome of a send that the target declares as not executed in \a info. */
 inline SendEnd NotRunEnd(const AnswerInfo &info)
 {
 	return info.signs.pause > Duration(0) ? SendEnd::TurnedAway : SendEnd::NotRun;
@@ -25,105 +25,105 @@
 	RelayCall(Gateway &gateway, std::shared_ptr<FrontExchange> exchange, RelayRequest request);
 	virtual ~RelayCall() = default;
 
-	/** Hand it to the dispatcher. */
+	/** Submit the request to the dispatcher. */
 	void Begin(TimePoint now);
 
-	/** The dispatcher says: send it. */
+	/** Send the request, as the dispatcher decided. */
 	void OnSend(const SendAction &action);
 
-	/** The dispatcher says: give it up. */
+	/** Give the final answer after the dispatcher rejected the request. */
 	void OnGiveUp(const GiveUpAction &action);
 
-	/** Some time has passed. */
+	/** Handle timeouts; to be called at each tick. */
 	virtual void OnTick(TimePoint now);
 
-	/** The target that holds it gets nothing new any more. */
+	/** The target of the request is draining. */
 	virtual void OnTargetLeaving(TimePoint) {}
 
-	/** The target that holds it has ended, whatever its connection looks like: the run has failed, and may have run. */
+	/** The target of the request has terminated, even if its connection is still open; the run has failed and may have been executed. */
 	void OnTargetEnded();
 
-	/** Its request is quarantined: unless the target runs it well already, it is taken back from there. */
+	/** The request is quarantined: cancel the send unless its run is stable. */
 	void OnQuarantined();
 
-	/** The process ends: break off what cannot be finished. */
+	/** Abort the request, as the process ends. */
 	void Cut();
 
-	/** @return Whether the final answer has been given, or the caller is gone. */
+	/** @return Whether the final answer has been given or the caller has disconnected. */
 	bool IsOver() const { return this->over; }
 
-	/** @return What the dispatcher knows of it. */
+	/** @return The request as the dispatcher sees it. */
 	const CallSpec &Spec() const { return this->request.spec; }
 
-	/** @return What the caller asked for. */
+	/** @return The request of the caller. */
 	const RelayRequest &Request() const { return this->request; }
 
 protected:
-	/** The head of a target's answer came on the call \a from. @return False if the answer belongs to another request. */
+	/** The head of a target's answer arrived on the call \a from. @return False if the answer belongs to another request. */
 	virtual bool OnHead(uint64_t from, const HttpHead &head) = 0;
 
-	/** A part of the answer's body came on the call \a from. */
+	/** A part of the answer's body arrived on the call \a from. */
 	virtual void OnBody(uint64_t from, std::string_view bytes) = 0;
 
-	/** The call \a from to a target is over. */
+	/** The call \a from to a target has ended. @param cause Reason for logs. */
 	virtual void OnEnd(uint64_t from, UpstreamEnd end, const char *cause) = 0;
 
-	/** @return Whether a send is under way. */
+	/** @return Whether a send is in progress. */
 	virtual bool HasSend() const { return this->link != 0; }
 
-	/** @return How far the target has come with it. */
+	/** @return The progress at the target. */
 	virtual RunStage Stage() const { return RunStage::Waiting; }
 
-	/** It was given up while an answer of a target is at hand: @return Whether that was delivered instead. */
+	/** Deliver an earlier answer of a target that reports a failure, instead of a rejection. @return Whether there was one. */
 	virtual bool DeliverInstead() { return false; }
 
-	/** The caller left: let go of everything beside the call to the target. */
+	/** Cancel all calls and copies besides the call to the target. */
 	virtual void OnGone() {}
 
-	/** Start the call to \a target. @param resume Where the run goes on from, if it was moved. */
+	/** Start the call to \a target. @param resume Position from which a migrated run continues. */
 	uint64_t StartUpstream(TargetNumber target, std::optional<ResumePoint> resume, std::optional<TargetNumber> backup_at);
 
-	/** @return Engine that is to keep a copy of the run at \a holder, if there is one to spare. */
+	/** @return The engine that is to keep a copy of the run at \a holder, if one has enough headroom. */
 	std::optional<TargetNumber> ChooseBackupFor(TargetNumber holder, TimePoint now);
 
-	/** Answer with a status of our own, if no answer has begun; break the answer off otherwise. */
+	/** Answer with a status of this instance; abort the connection if an answer has already started. */
 	void Fail(int status, const char *reason, std::optional<Duration> retry_after = std::nullopt);
 
-	/** The final answer was given. */
+	/** Record the final answer and remove the request. */
 	void Conclude(const char *outcome, int status);
 
-	/** Tell the dispatcher how the send ended, and carry out what it decides. */
+	/** Report the outcome of the send to the dispatcher, and execute its decisions. */
 	void EndSend(SendEnd end);
 
-	/** @return Whether \a head answers this request; an answer without an id is taken only when it tells a failure. */
+	/** @return Whether \a head answers this request; an answer without an id is accepted only if it reports a failure. */
 	bool IsMine(const HttpHead &head) const;
 
-	/** @return Whether its request is not sent any more. */
+	/** @return Whether the request is quarantined. */
 	bool IsQuarantined() const;
 
-	/** @return The urgency told to engines; 0 goes first. */
+	/** @return The urgency for engines; 0 goes first. */
 	int Urgency() const;
 
-	/** @return When a refused caller should come back: at most a third of what is left to it. */
+	/** @return The Retry-After of a rejection, at most a third of the time that remains. */
 	Duration RetryAfter(Duration wanted) const;
 
-	Gateway &gateway;                        ///< Gateway.
-	std::shared_ptr<FrontExchange> exchange; ///< Caller.
-	RelayRequest request;                    ///< What it asks for.
-	std::optional<TargetNumber> target;      ///< Target that has it; nothing while it waits.
-	std::optional<TargetNumber> backup;      ///< Engine that keeps a copy of the run; nothing for none.
-	uint64_t link = 0;                       ///< Call to the target; 0 for none.
-	uint32_t attempts = 0;                   ///< Sends so far.
-	TimePoint sent_at;                       ///< When it was last sent.
-	bool doubtful = false;                   ///< Some send ended in doubt: it may have run.
-	bool over = false;                       ///< Final answer given, or caller gone.
+	Gateway &gateway;
+	std::shared_ptr<FrontExchange> exchange; ///< The caller's exchange.
+	RelayRequest request;
+	std::optional<TargetNumber> target; ///< Target that has the request; nothing while it waits.
+	std::optional<TargetNumber> backup; ///< Engine that keeps a copy of the run.
+	uint64_t link = 0;                  ///< Call to the target; 0 for none.
+	uint32_t attempts = 0;              ///< Sends so far.
+	TimePoint sent_at;                  ///< Time of the last send.
+	bool doubtful = false;              ///< A send ended with an unknown outcome, so the request may have been executed.
+	bool over = false;                  ///< Final answer given, or caller disconnected.
 
 private:
 	void OnCallerGone();
 	void LogSend(TimePoint now);
 };
 
-/** A request whose answer is held until it is whole. */
+/** A request whose answer is buffered until it is complete. */
 class PlainRelay : public RelayCall {
 public:
 	using RelayCall::RelayCall;
@@ -135,19 +135,19 @@
 	bool DeliverInstead() override;
 
 private:
-	/** A whole answer of a target. */
+	/** An answer of a target. */
 	struct Answer {
-		HttpHead head;    ///< Head.
-		AnswerInfo info;  ///< What its fields say.
-		std::string body; ///< Body.
+		HttpHead head;
+		AnswerInfo info; ///< Parsed headers.
+		std::string body;
 	};
 
 	void OnWhole();
 	void Deliver(const Answer &answer);
 
 	Answer answer;              ///< Answer being received.
-	std::optional<Answer> kept; ///< Whole answer that tells a fault, kept while another target is tried.
-	bool passing = false;       ///< The answer is too large to be held: it is passed on as it comes.
+	std::optional<Answer> kept; ///< Complete answer that reports a failure, to be delivered if no other target succeeds.
+	bool passing = false;       ///< The answer exceeds the buffer and is forwarded as it arrives.
 };
 
 } // namespace cottonspool
--- a/src/gateway/stream_relay.cpp
+++ b/src/gateway/stream_relay.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file stream_relay.cpp A generation passed on event by event. */
+/** @file stream_relay.cpp Streams a generation and migrates its run. */
 
 #include "gateway/stream_relay.h"
 #include "gateway/gateway.h"
@@ -42,7 +42,7 @@
 		return;
 	}
 	auto keep = this->shared_from_this();
-	if (!this->splitter.Add(bytes)) return this->LoseRun("an event longer than the bound");
+	if (!this->splitter.Add(bytes)) return this->LoseRun("event exceeds the size limit");
 	this->PassEvents();
 	this->SetFlow();
 }
@@ -106,7 +106,7 @@
 	if (end == UpstreamEnd::Complete) return this->RelayRefusal();
 	this->gateway.OnSendBroken(this->request, *this->target, this->Stage(), MonotonicNow());
 	if (this->IsQuarantined()) return this->LoseRun(cause);
-	// A run whose memory has been, or is being, copied goes on from the copy.
+	// The run resumes from its copy, even if that is still in progress.
 	if (this->move.phase != MovePhase::None) return this->LogMove("source-lost", cause);
 	if (this->ResumeFromBackup(cause, MonotonicNow())) return;
 	this->LoseRun(cause);
@@ -115,7 +115,7 @@
 RunStage StreamRelay::Stage() const
 {
 	if (!this->streaming) return RunStage::Waiting;
-	// What counts is for how long events came: an instance that was suspended finds the break long after it.
+	// Measured between events, as a suspended instance notices the interruption long after it.
 	bool well = this->has_event && this->last_at - this->streaming_at >= this->gateway.limits.begun_lately;
 	return well ? RunStage::RunsWell : RunStage::Begun;
 }
@@ -203,11 +203,11 @@
 	if (this->over || !this->target || this->link == 0 || !this->request.engines.can_move || !this->gateway.limits.use_moves) return;
 	if (this->move.phase != MovePhase::None || now < this->move.not_before) return;
 	const TargetState &source = this->gateway.dispatcher.Targets().Get(*this->target);
-	// Runs of a hall that is emptied end there: moving them out serves no more callers.
+	// Runs in an evacuated hall finish there; only draining engines are left, and not while they ask for a pause.
 	if (!source.bounds.leaving || now < source.bounds.paused_until) return;
 	auto flight = source.in_flight.find(this->request.spec.id);
 	if (flight == source.in_flight.end()) return;
-	// A run that has begun and ends soon is done before a copy of it would be.
+	// A run that finishes soon ends before a copy of it would be complete.
 	double interval = source.interval > 0 ? source.interval : 0.01;
 	if (this->has_event && FromSeconds(flight->second.residual * interval) < this->gateway.limits.least_move) return;
 	if (this->ResumeFromBackup("leaving", now)) return;
@@ -217,7 +217,7 @@
 	if (!to) {
 		this->move.refused.clear();
 		this->move.not_before = now + this->gateway.limits.move_retry;
-		return this->LogMove("no-engine", "none has room");
+		return this->LogMove("no-engine", "no engine has headroom");
 	}
 	this->move.phase = MovePhase::Copying;
 	this->move.to = *to;
@@ -307,7 +307,7 @@
 
 void StreamRelay::GiveUpSource()
 {
-	// What the old run still makes, the new one makes again before it comes to anything new: the caller would wait for that.
+	// The new engine regenerates the events after the copy, so any further event of the old run would only delay the new ones.
 	if (this->link == 0 || !this->gateway.upstream.IsConnected(this->move.resume_link)) return;
 	this->gateway.upstream.Cancel(this->link);
 	this->link = 0;
@@ -317,7 +317,7 @@
 {
 	if (!this->backup || !this->target) return false;
 	TargetNumber at = *this->backup;
-	// A copy serves once, and one that leaves with its engine is of no use.
+	// A copy can be used once, and is useless if its engine drains as well.
 	this->backup.reset();
 	if (!this->MayResumeAt(at)) return false;
 	this->EndMove();
--- a/src/gateway/stream_relay.h
+++ b/src/gateway/stream_relay.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file stream_relay.h A generation passed on event by event, which goes on elsewhere when its engine leaves. */
+/** @file stream_relay.h A generation that is streamed to the caller and migrates to another engine when its engine drains. */
 
 #pragma once
 
@@ -11,9 +11,9 @@
 namespace cottonspool {
 
 /**
- * One generation. When its engine is to leave, the run's memory is copied to another engine while it goes on; then the
- * other engine is asked to continue, and the old run is given up once the request is on its way. Events are passed on by
- * their numbers, each once and in order, whichever engine they come from.
+ * One streamed generation. When its engine drains, the KV cache of the run is copied to another engine while the run continues. Then
+ * the new engine is asked to resume, and the old run is cancelled once the new engine is connected. Events are forwarded by their
+ * numbers, each once and in order, whichever engine they come from.
  */
 class StreamRelay : public RelayCall {
 public:
@@ -31,28 +31,28 @@
 	RunStage Stage() const override;
 
 private:
-	/** How far a move to another engine has come. */
+	/** Phases of a migration to another engine. */
 	enum class MovePhase : uint8_t {
-		None,     ///< Not moving.
-		Copying,  ///< The memory is being copied.
-		Resuming, ///< The other engine was asked to go on.
+		None,     ///< No migration in progress.
+		Copying,  ///< The KV cache is being copied.
+		Resuming, ///< The new engine was asked to resume the run.
 	};
 
-	/** A move to another engine. */
+	/** A migration to another engine. */
 	struct Move {
-		MovePhase phase = MovePhase::None;  ///< How far it is.
-		TargetNumber to;                    ///< Engine that it goes to.
-		std::string handle;                 ///< Name of the copy, at the old engine; empty while there is none.
-		uint64_t covers = 0;                ///< Events that the copy holds the memory of.
-		std::vector<TargetNumber> refused;  ///< Engines without room.
-		std::optional<TimePoint> turn;      ///< When the link is expected to be free for it; nothing before the engine's notice.
-		TimePoint begun;                    ///< When the copy was asked for.
-		TimePoint not_before;               ///< Earliest next try.
-		uint64_t call = 0;                  ///< Call under way that copies.
-		uint64_t resume_link = 0;           ///< Call under way that goes on.
-		std::optional<TargetNumber> backup; ///< Engine that keeps a copy of the run once it goes on.
-		uint32_t tries = 0;                 ///< Copies asked for.
-		bool counted = false;               ///< What the copy takes at the other engine is counted there.
+		MovePhase phase = MovePhase::None;
+		TargetNumber to;                    ///< New engine.
+		std::string handle;                 ///< Name of the copy at the old engine; empty while there is none.
+		uint64_t covers = 0;                ///< Events whose KV cache is in the copy.
+		std::vector<TargetNumber> refused;  ///< Engines that rejected the migration.
+		std::optional<TimePoint> turn;      ///< When the engine's network should be free for this copy; nothing before the drain notice.
+		TimePoint begun;                    ///< When the copy was requested.
+		TimePoint not_before;               ///< Earliest time of the next attempt.
+		uint64_t call = 0;                  ///< Copy request in progress; 0 for none.
+		uint64_t resume_link = 0;           ///< Resume request in progress; 0 for none.
+		std::optional<TargetNumber> backup; ///< Engine that keeps a copy of the run after the migration.
+		uint32_t tries = 0;                 ///< Copies requested.
+		bool counted = false;               ///< Whether the copy's memory is counted at the new engine.
 	};
 
 	void PassEvents();
@@ -61,10 +61,10 @@
 	void StartAnswer(const HttpHead &head);
 	void RelayRefusal();
 	void TryMove(TimePoint now);
-	/** @return Time until the copies of other runs that leave the same engine are nearly done. */
+	/** @return Time until the earlier copies from the same engine are almost done. */
 	Duration CopyWait() const;
 	void OnCopied(const MoveAnswer &answer);
-	/** @return Whether the run may still go on at \a to: that engine may have left, turned cold, or its hall been emptied meanwhile. */
+	/** @return Whether the run may resume at \a to; that engine or its hall may have become unavailable during the copy. */
 	bool MayResumeAt(TargetNumber to) const;
 	void DropCopy();
 	void EndMove();
@@ -81,20 +81,20 @@
 	void SetFlow();
 	void LogMove(const char *step, const char *result);
 
-	EventSplitter splitter;  ///< Events of the engine that is being followed.
-	HttpHead answer_head;    ///< Head of an answer that is no stream.
-	std::string answer_body; ///< Its body.
-	bool streaming = false;  ///< The engine is sending events.
-	TimePoint streaming_at;  ///< Since when: it has begun the run then.
-	bool has_event = false;  ///< An event was passed on.
-	uint64_t last_event = 0; ///< Number of the last one.
-	uint64_t events = 0;     ///< Events passed on.
-	TimePoint last_at;       ///< When it was passed on.
-	Duration first_after{0}; ///< Time from the request to the first event.
+	EventSplitter splitter; ///< Splits the stream of the current engine into events.
+	HttpHead answer_head;   ///< Head of an answer that is not a stream.
+	std::string answer_body;
+	bool streaming = false;  ///< Whether the engine is sending events.
+	TimePoint streaming_at;  ///< When the stream started.
+	bool has_event = false;  ///< Whether an event was forwarded.
+	uint64_t last_event = 0; ///< Number of the last forwarded event.
+	uint64_t events = 0;     ///< Events forwarded.
+	TimePoint last_at;       ///< When the last event was forwarded.
+	Duration first_after{0}; ///< Time from the request's arrival to the first event.
 	Duration longest_gap{0}; ///< Longest pause between events.
-	bool paused = false;     ///< The engine is not being read, since the caller reads slowly.
-	Move move;               ///< Move under way.
-	uint32_t moves = 0;      ///< Moves done.
+	bool paused = false;     ///< Reading from the engine is paused, as the caller reads slowly.
+	Move move;               ///< Migration in progress.
+	uint32_t moves = 0;      ///< Completed migrations.
 };
 
 } // namespace cottonspool
