--- a/src/peer/packed_message.cpp
+++ b/src/peer/packed_message.cpp
@@ -1,17 +1,17 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file packed_message.cpp Long messages between instances, compressed. */
+/** @file packed_message.cpp Compression of long messages between instances. */
 
 #include "peer/packed_message.h"
 #include <zlib.h>
 
 namespace cottonspool {
 
-static constexpr size_t PACKED_FROM = 4096;        ///< Bytes from which a message is compressed.
-static constexpr size_t UNPACKED_MOST = 64U << 20; ///< Bytes of the longest message that is taken.
-static constexpr char MARK = 'Z';                  ///< First byte; messages in CBOR are arrays, whose first bytes are 0x80 to 0x9f.
-static constexpr size_t HEAD = 5;                  ///< The mark, and the length of the message in four bytes, the highest first.
-static constexpr int LEVEL = Z_BEST_SPEED;         ///< Slow machines write them too.
+static constexpr size_t PACKED_FROM = 4096;        ///< Shorter messages are not compressed.
+static constexpr size_t UNPACKED_MOST = 64U << 20; ///< Size limit of a decompressed message.
+static constexpr char MARK = 'Z';                  ///< First byte; CBOR messages are arrays, whose first byte is 0x80 to 0x9f.
+static constexpr size_t HEAD = 5;                  ///< The mark, and the length of the message as a 32-bit number in network byte order.
+static constexpr int LEVEL = Z_BEST_SPEED;         ///< Keeps the load of slow machines low.
 
 std::string PackMessage(std::string message)
 {
@@ -33,17 +33,17 @@
 
 Result<std::string> UnpackMessage(const std::string &bytes)
 {
-	if (!IsPacked(bytes)) return Error{Step::Peer, "message", "not compressed"};
+	if (!IsPacked(bytes)) return Error{Step::Peer, "message", "not a compressed message"};
 	size_t told = 0;
 	for (size_t i = 1; i < HEAD; i++) told = told << 8 | static_cast<unsigned char>(bytes[i]);
-	// No stream of zlib grows by more than a thousand times: what tells more is no message, and takes no memory.
+	// zlib expands data by at most this factor; rejects false lengths before memory is allocated.
 	static constexpr size_t MOST_GROWTH = 1032;
-	if (told > UNPACKED_MOST || told > MOST_GROWTH * bytes.size()) return Error{Step::Peer, "message", "too long"};
+	if (told > UNPACKED_MOST || told > MOST_GROWTH * bytes.size()) return Error{Step::Peer, "message", "length exceeds the limit"};
 	std::string message(told, '\0');
 	uLongf length = told;
 	const auto *from = reinterpret_cast<const Bytef *>(bytes.data() + HEAD);
 	int result = uncompress(reinterpret_cast<Bytef *>(message.data()), &length, from, bytes.size() - HEAD);
-	if (result != Z_OK || length != told) return Error{Step::Peer, "message", "not what it was compressed from"};
+	if (result != Z_OK || length != told) return Error{Step::Peer, "message", "corrupt compressed data"};
 	return message;
 }
 
--- a/src/peer/packed_message.h
+++ b/src/peer/packed_message.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file packed_message.h Long messages between instances, compressed. */
+/** @file packed_message.h Compression of long messages between instances. */
 
 #pragma once
 
@@ -9,14 +9,13 @@
 
 namespace cottonspool {
 
-/** @return \a message, compressed where it is long: whole tables and configurations take an eighth then, and links of 20 Mbit/s are full
- *          with the others. */
+/** @return \a message, compressed if it is long, as table snapshots and configurations would congest slow links between instances. */
 std::string PackMessage(std::string message);
 
-/** @return Whether \a bytes are a compressed message; no message in CBOR begins like one. */
+/** @return Whether \a bytes are a compressed message; no CBOR message starts the same way. */
 bool IsPacked(const std::string &bytes);
 
-/** @return The message in the compressed \a bytes; an error where they hold none, or a longer one than instances send. */
+/** @return The decompressed message in \a bytes; an error if they are malformed or the message exceeds the size limit. */
 Result<std::string> UnpackMessage(const std::string &bytes);
 
 } // namespace cottonspool
--- a/src/peer/peer_links.cpp
+++ b/src/peer/peer_links.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_links.cpp Links to other instances. */
+/** @file peer_links.cpp Links to other instances, which carry all messages between them. */
 
 #include "peer/peer_links.h"
 #include <algorithm>
@@ -15,7 +15,7 @@
 	this->listener->data = this;
 	sockaddr_in address{};
 	std::string name = ip + ":" + std::to_string(port);
-	if (uv_ip4_addr(ip.c_str(), port, &address) != 0) return Error{Step::Listen, name, "not an IPv4 number"};
+	if (uv_ip4_addr(ip.c_str(), port, &address) != 0) return Error{Step::Listen, name, "not an IPv4 address"};
 	int result = uv_tcp_bind(this->listener, reinterpret_cast<sockaddr *>(&address), 0);
 	if (result == 0) {
 		result = uv_listen(reinterpret_cast<uv_stream_t *>(this->listener), 128, [](uv_stream_t *stream, int status) {
--- a/src/peer/peer_links.h
+++ b/src/peer/peer_links.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_links.h Links to other instances: heartbeats, pushes of configuration, fetches. */
+/** @file peer_links.h Links to other instances, which carry all messages between them. */
 
 #pragma once
 
@@ -17,16 +17,16 @@
 /** Counters of the links. */
 struct PeerCounters {
 	uint64_t messages_out = 0; ///< Messages sent.
-	uint64_t messages_in = 0;  ///< Messages taken.
+	uint64_t messages_in = 0;  ///< Messages received.
 	uint64_t bytes_out = 0;    ///< Payload bytes sent.
-	uint64_t bytes_in = 0;     ///< Payload bytes taken.
-	uint64_t bad_messages = 0; ///< Messages that could not be read.
+	uint64_t bytes_in = 0;     ///< Payload bytes received.
+	uint64_t bad_messages = 0; ///< Messages that could not be decoded.
 };
 
-/** Keeps one link to each wanted peer, and takes links from others. */
+/** Keeps one link to each wanted peer, and accepts links from others. */
 class PeerLinks {
 public:
-	/** Answers a message on the link it came on. */
+	/** Answers a message on the link it arrived on. */
 	class Reply {
 	public:
 		using Send = std::function<void(const std::string &)>;
@@ -36,11 +36,11 @@
 		/** Answer with \a message. */
 		void operator()(const PeerMessage &message) const { this->send(EncodePeerMessage(message)); }
 
-		/** The same with a message that was encoded already. */
+		/** Answer with an encoded message. */
 		void Bytes(const std::string &bytes) const { this->send(bytes); }
 
 	private:
-		Send send; ///< Sends an encoded message.
+		Send send;
 	};
 	using Handler = std::function<void(const PeerMessage &, const Reply &)>;
 
@@ -50,51 +50,52 @@
 	/** Listen on \a ip and \a port; port 0 takes a free one. @return The port. */
 	Result<uint16_t> Listen(const std::string &ip, uint16_t port);
 
-	/** Keep links to exactly these addresses (IP:PORT); missing ones are dialled anew. */
+	/** Keep links to exactly these addresses (IP:PORT), and connect to those without one. */
 	void SetWanted(const std::vector<std::string> &addresses);
 
-	/** Send \a message on every link that this instance dialled, but for those to \a except. @return Its size in bytes. */
+	/** Send \a message on every link that this instance opened, except those to \a except. @return Its size in bytes. */
 	size_t Broadcast(const PeerMessage &message, const std::set<std::string> &except = {});
 
-	/** The same with a message that was encoded already. */
+	/** Send an encoded message on every link that this instance opened, except those to \a except. */
 	void BroadcastBytes(const std::string &bytes, const std::set<std::string> &except = {});
 
-	/** Close everything. */
+	/** Close all links and the listener. */
 	void Shutdown();
 
-	/** @return Open links that this instance dialled. */
+	/** @return Number of open links that this instance opened. */
 	size_t OpenLinks() const;
 
 	/** Send \a message on the link to \a address, if it is open. */
 	void SendTo(const std::string &address, const PeerMessage &message);
 
-	/** @return How far the link to \a address has come. */
+	/** @return The state of the link to \a address. */
 	LinkState StateOf(const std::string &address) const;
 
-	std::function<void(const std::string &)> on_link_open; ///< Called with the address when a link that this instance dialled can be used.
-	std::function<void(const std::string &)> on_link_closed; ///< Called with the address when such a link has ended.
+	/** Called with the address when a link of this instance is ready for messages. */
+	std::function<void(const std::string &)> on_link_open;
+	std::function<void(const std::string &)> on_link_closed; ///< Called with the address when such a link has closed.
 
 	/** @return Counters since the start. */
 	const PeerCounters &Counters() const { return this->counters; }
 
 private:
-	/** A link that this instance dialled. */
+	/** A link that this instance opened. */
 	struct Link {
-		std::shared_ptr<WebsocketSession> session; ///< Connection.
-		bool open = false;                         ///< Handshake over.
+		std::shared_ptr<WebsocketSession> session;
+		bool open = false; ///< Whether the handshake has completed.
 	};
 
 	void Dial(const std::string &address);
 	void OnMessage(const std::string &bytes, const std::weak_ptr<WebsocketSession> &from);
 	bool SendOn(const std::shared_ptr<WebsocketSession> &session, const std::string &bytes);
 
-	uv_loop_s *loop;                                                ///< Loop.
-	Handler handler;                                                ///< Handler of messages.
-	uv_tcp_s *listener = nullptr;                                   ///< Listening socket.
-	std::map<std::string, Link> links;                              ///< Dialled links by address.
-	std::map<uint64_t, std::shared_ptr<WebsocketSession>> accepted; ///< Links from others.
-	uint64_t next_accepted = 1;                                     ///< Number of the next link from another.
-	PeerCounters counters;                                          ///< Counters.
+	uv_loop_s *loop;
+	Handler handler; ///< Receives decoded messages.
+	uv_tcp_s *listener = nullptr;
+	std::map<std::string, Link> links;                              ///< Links of this instance by address.
+	std::map<uint64_t, std::shared_ptr<WebsocketSession>> accepted; ///< Links from other instances by number.
+	uint64_t next_accepted = 1;                                     ///< Number of the next accepted link.
+	PeerCounters counters;
 };
 
 } // namespace cottonspool
--- a/src/peer/peer_message.cpp
+++ b/src/peer/peer_message.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_message.cpp Messages between instances in CBOR: arrays whose first item tells the kind. */
+/** @file peer_message.cpp Messages between instances in CBOR: arrays whose first item is the kind. */
 
 #include "peer/peer_message.h"
 #include "peer/packed_message.h"
@@ -25,12 +25,12 @@
 static constexpr int LEASE_GRANT = 11;
 static constexpr int TABLES_ASK = 12;
 
-/** @return The whole number in \a item; throws where there is none or it is out of range: converting another number would be undefined. */
+/** @return The integer in \a item; throws if it is none or out of range, as its conversion would be undefined. */
 template <typename Number> static Number Whole(const Json &item)
 {
-	if (!item.is_number_integer()) throw std::out_of_range("no whole number");
+	if (!item.is_number_integer()) throw std::out_of_range("not an integer");
 	bool fits = item.is_number_unsigned() ? std::in_range<Number>(item.get<uint64_t>()) : std::in_range<Number>(item.get<int64_t>());
-	if (!fits) throw std::out_of_range("a number out of range");
+	if (!fits) throw std::out_of_range("integer out of range");
 	return item.get<Number>();
 }
 
@@ -40,7 +40,7 @@
 	return Json::array({member.name, member.hall, member.address, member.incarnation, member.counter, member.sequence, member.stopping});
 }
 
-/** @return The member in \a item; throws what the library throws when it is none. */
+/** @return The member in \a item; throws if it is malformed. */
 static MemberInfo ReadMember(const Json &item)
 {
 	MemberInfo member;
@@ -122,7 +122,7 @@
 	                    message.cells.cells, message.cells.decided.era, message.cells.decided.number});
 }
 
-/** @return \a sums as one flat array: their names and numbers in turn. */
+/** @return \a sums as one flat array of names and numbers, four items each. */
 static Json WriteSums(const std::vector<TargetSum> &sums)
 {
 	Json flat = Json::array();
@@ -161,7 +161,7 @@
 	return Json::array({LEASE_GRANT, message.instance, message.target, message.number, message.granted});
 }
 
-/** @return What a target has said of itself in \a item; throws what the library throws when it is none. */
+/** @return The signal in \a item; throws if it is malformed. */
 static SignNews ReadSignNews(const Json &item)
 {
 	SignNews news;
@@ -171,13 +171,14 @@
 	const Json &limit = item.at(3);
 	if (told) news.limit = limit.is_null() ? SignState::Absent : SignState::Said;
 	if (news.limit == SignState::Said) news.limit_per_s = limit.get<double>();
-	if (!(news.limit_per_s >= 0 && news.limit_per_s < std::numeric_limits<double>::infinity())) throw std::out_of_range("no limit");
+	if (!(news.limit_per_s >= 0 && news.limit_per_s < std::numeric_limits<double>::infinity()))
+		throw std::out_of_range("rate limit out of range");
 	news.asked_ago = Duration(Whole<int64_t>(item.at(4)));
-	if (news.asked_ago < Duration(0) || news.asked_ago > std::chrono::hours(1)) throw std::out_of_range("no age");
+	if (news.asked_ago < Duration(0) || news.asked_ago > std::chrono::hours(1)) throw std::out_of_range("age out of range");
 	return news;
 }
 
-/** @return The sums in \a flat; throws what the library throws when it is none. */
+/** @return The sums in \a flat; throws if they are malformed. */
 static std::vector<TargetSum> ReadSums(const Json &flat)
 {
 	std::vector<TargetSum> sums;
@@ -188,12 +189,12 @@
 	return sums;
 }
 
-/** @return The news of a table in \a item; throws what the library throws when it is none. */
+/** @return The update of a table in \a item; throws if it is malformed. */
 static TableNews ReadTableNews(const Json &item)
 {
 	TableNews news;
 	news.table = item.at(0).get<std::string>();
-	// An instance of an older release tells no eras.
+	// Instances of older releases send no epochs.
 	bool with_eras = item.size() > 6;
 	news.from = {with_eras ? Whole<uint64_t>(item.at(6)) : 0, Whole<uint64_t>(item.at(1))};
 	news.to = {with_eras ? Whole<uint64_t>(item.at(7)) : 0, Whole<uint64_t>(item.at(2))};
@@ -208,7 +209,7 @@
 	return news;
 }
 
-/** @return The news of a call in \a item; throws what the library throws when it is none. */
+/** @return The update of a call in \a item; throws if it is malformed. */
 static CallNews ReadCallNews(const Json &item)
 {
 	CallNews news;
@@ -220,12 +221,12 @@
 	news.max_tokens = Whole<uint32_t>(item.at(5));
 	news.pool = item.at(6).get<std::string>();
 	int service_class = Whole<int>(item.at(7));
-	if (service_class < 0 || service_class >= static_cast<int>(SERVICE_CLASS_COUNT)) throw std::out_of_range("unknown class");
+	if (service_class < 0 || service_class >= static_cast<int>(SERVICE_CLASS_COUNT)) throw std::out_of_range("unknown service class");
 	news.service_class = static_cast<ServiceClass>(service_class);
 	return news;
 }
 
-/** @return The report in \a item; throws what the library throws when it is none. */
+/** @return The report in \a item; throws if it is malformed. */
 static ReportNews ReadReportNews(const Json &item)
 {
 	ReportNews news;
@@ -245,7 +246,7 @@
 	return PackMessage(std::string(bytes.begin(), bytes.end()));
 }
 
-/** @return The message in \a array; throws what the library throws when it is none. */
+/** @return The message in \a array; throws if it is malformed. */
 static PeerMessage Read(const Json &array)
 {
 	switch (Whole<int>(array.at(0))) {
@@ -278,7 +279,7 @@
 		message.hall = array.at(2).get<std::string>();
 		message.relayed = array.at(3).get<bool>();
 		for (const Json &item : array.at(4)) message.tables.push_back(ReadTableNews(item));
-		// An instance of an older release divides nothing.
+		// Instances of older releases don't divide targets.
 		if (array.size() <= 5) return message;
 		for (const Json &item : array.at(5))
 			message.parts.push_back({item.at(0).get<std::string>(), item.at(1).get<std::string>(), Whole<uint32_t>(item.at(2))});
@@ -287,7 +288,7 @@
 	case PRESENCE: {
 		PeerPlace place{array.at(2).get<std::string>(), array.at(3).get<std::string>(), array.at(4).get<double>()};
 		PresenceMessage message{array.at(1).get<std::string>(), std::move(place), Whole<uint32_t>(array.at(5)), {}};
-		// An instance of an older release knows no cells.
+		// Instances of older releases don't know cells.
 		if (array.size() > 8) message.cells = {Whole<uint32_t>(array.at(6)), {Whole<uint64_t>(array.at(7)), Whole<uint64_t>(array.at(8))}};
 		return message;
 	}
@@ -307,7 +308,7 @@
 	case TABLES_ASK:
 		return TablesAskMessage{array.at(1).get<std::string>(), array.at(2).get<std::vector<std::string>>()};
 	default:
-		throw std::out_of_range("unknown kind");
+		throw std::out_of_range("unknown message kind");
 	}
 }
 
@@ -315,7 +316,7 @@
 {
 	if (IsPacked(bytes)) {
 		BOOST_OUTCOME_TRY(message, UnpackMessage(bytes));
-		if (IsPacked(message)) return Error{Step::Peer, "message", "compressed twice"};
+		if (IsPacked(message)) return Error{Step::Peer, "message", "nested compression"};
 		return DecodePeerMessage(message);
 	}
 	try {
--- a/src/peer/peer_message.h
+++ b/src/peer/peer_message.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_message.h Messages between instances, and their CBOR form. */
+/** @file peer_message.h Messages between instances, and their encoding in CBOR. */
 
 #pragma once
 
@@ -14,83 +14,84 @@
 
 namespace cottonspool {
 
-/** Regular news of an instance. */
+/** Regular heartbeat of an instance without a gateway. */
 struct HeartbeatMessage {
-	std::vector<MemberInfo> members;                      ///< The sender first, then some others it knows.
-	std::vector<LeavingTarget> leaving;                   ///< Targets it knows to leave.
-	Duration confirmed_age{0};                            ///< Age of its last confirmation that its configuration is the newest.
-	std::vector<std::pair<std::string, uint64_t>> echoes; ///< Peers heard directly, each with the last counter heard of it.
+	std::vector<MemberInfo> members;    ///< The sender, then some other members it knows.
+	std::vector<LeavingTarget> leaving; ///< Draining targets that the sender knows.
+	Duration confirmed_age{0};          ///< Time since the sender last confirmed that its configuration is the newest.
+	/** Peers from which the sender got heartbeats directly, each with the latest counter. */
+	std::vector<std::pair<std::string, uint64_t>> echoes;
 };
 
-/** Accepted entries, in order. */
+/** Accepted entries of the configuration log, in order. */
 struct EntriesMessage {
 	std::vector<std::string> entries; ///< Entries in JSON, as in the table.
 };
 
-/** Asks for what comes after a sequence. */
+/** Requests the entries that follow a sequence number. */
 struct FetchMessage {
-	uint64_t after = 0; ///< Last sequence that the asker has.
+	uint64_t after = 0; ///< Latest sequence number that the sender has.
 };
 
-/** The whole configuration. */
+/** A snapshot of the configuration. */
 struct SnapshotMessage {
 	std::string snapshot; ///< As written by ConfigurationState::Snapshot().
 };
 
-/** What an instance has read of the store's tables, or that it still does. */
+/** Updates of the store's tables, or the confirmation that the sender still follows them. */
 struct TablesMessage {
-	std::string instance;          ///< Who tells it.
-	std::string hall;              ///< Data hall it stands in.
-	bool relayed = false;          ///< It was passed on by an instance of the receiver's hall.
-	std::vector<TableNews> tables; ///< News by table.
-	std::vector<PoolParts> parts;  ///< How the teller divides targets among cells, if the list of targets is told whole.
+	std::string instance;          ///< Sender, or the instance that read the tables if it was forwarded.
+	std::string hall;              ///< Hall of that instance.
+	bool relayed = false;          ///< Whether it was forwarded by an instance of the receiver's hall.
+	std::vector<TableNews> tables; ///< Updates by table.
+	std::vector<PoolParts> parts;  ///< Division of the targets among cells, if the message contains a snapshot of them.
 };
 
-/** An instance that has started asks for tables, to read them from nobody else. */
+/** Request of an instance that has started for snapshots of tables. */
 struct TablesAskMessage {
-	std::string instance;            ///< Who asks.
-	std::vector<std::string> tables; ///< Tables.
+	std::string instance;            ///< Sender.
+	std::vector<std::string> tables; ///< Names of the tables.
 };
 
-/** Where an instance is, told to each peer when the link to it opens: whoever is dialled thereby knows who dials. */
+/** Location and view of an instance, sent to each peer when a link to it opens, so that the peer knows its address. */
 struct PresenceMessage {
-	std::string instance;   ///< Who tells it.
-	PeerPlace place;        ///< Where it is.
-	uint32_t instances = 0; ///< Instances that the store lists, as far as the teller knows; 0 if it has not read that.
-	CellCount cells;        ///< Into how many cells it divides them.
+	std::string instance; ///< Sender.
+	PeerPlace place;
+	uint32_t instances = 0; ///< Number of instances in the store, as far as the sender knows; 0 if it has not read them.
+	CellCount cells;        ///< Number of cells into which the sender divides them.
 };
 
-/** What targets have said of themselves lately. */
+/** Signals that targets have sent with their answers. */
 struct SignsMessage {
-	std::string instance;       ///< Who tells it.
-	std::string hall;           ///< Data hall of who heard it first.
-	bool relayed = false;       ///< It was passed on by an instance of the receiver's hall.
-	std::vector<SignNews> news; ///< By target.
+	std::string instance;       ///< Sender, or the instance that got the signals if it was forwarded.
+	std::string hall;           ///< Hall of that instance.
+	bool relayed = false;       ///< Whether it was forwarded to the receiver's hall.
+	std::vector<SignNews> news; ///< Signals by target.
 };
 
-/** An instance asks another one for a part of its share of a target's limit. */
+/** Request for a lease of a part of the receiver's share of a target's rate limit. */
 struct LeaseAskMessage {
-	std::string instance; ///< Who asks.
-	std::string target;   ///< Life of the target, by name.
-	uint64_t number = 0;  ///< Number of the ask, given by who asks.
+	std::string instance; ///< Sender.
+	std::string target;   ///< Target incarnation, by name.
+	uint64_t number = 0;  ///< Number of the request, assigned by the sender.
 	uint32_t wanted = 0;  ///< Requests in a window.
 };
 
-/** The answer to it. */
+/** Answer to a lease request. */
 struct LeaseGrantMessage {
-	std::string instance; ///< Who lends.
-	std::string target;   ///< Life of the target, by name.
-	uint64_t number = 0;  ///< Number of the ask.
-	uint32_t granted = 0; ///< Requests in a window that are lent.
+	std::string instance; ///< Sender, which lends.
+	std::string target;   ///< Target incarnation, by name.
+	uint64_t number = 0;  ///< Number of the lease request.
+	uint32_t granted = 0; ///< Requests in a window that are lent; 0 for none.
 };
 
 using PeerMessage = std::variant<HeartbeatMessage, EntriesMessage, FetchMessage, SnapshotMessage, LoadMessage, TablesMessage,
                                  PresenceMessage, HallLoadMessage, SignsMessage, LeaseAskMessage, LeaseGrantMessage, TablesAskMessage>;
 
-/** @return \a message in CBOR. */
+/** @return \a message in CBOR, compressed if it is long. */
 std::string EncodePeerMessage(const PeerMessage &message);
 
-/** Read a message; anything that is not one is an error, never a crash. */
+/** @return The decoded message; an error for any bytes that are not a valid message. */
 Result<PeerMessage> DecodePeerMessage(const std::string &bytes);
 
 } // namespace cottonspool
--- a/src/peer/websocket_session.cpp
+++ b/src/peer/websocket_session.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file websocket_session.cpp One websocket to another instance, by websocketpp's iostream transport fed from libuv. */
+/** @file websocket_session.cpp One WebSocket to another instance, by websocketpp's iostream transport over libuv. */
 
 #include "peer/websocket_session.h"
 #include <netinet/in.h>
@@ -14,14 +14,14 @@
 
 namespace cottonspool {
 
-static constexpr size_t MAX_MESSAGE_BYTES = 64U << 20;     ///< Largest message taken.
-static constexpr unsigned UNACKNOWLEDGED_LIMIT_MS = 10000; ///< Time without acknowledgement after which a link is given up.
-static constexpr size_t MAX_UNSENT_BYTES = 96U << 20;      ///< Unsent bytes from which messages are dropped.
+static constexpr size_t MAX_MESSAGE_BYTES = 64U << 20;     ///< Size limit of a received message.
+static constexpr unsigned UNACKNOWLEDGED_LIMIT_MS = 10000; ///< TCP_USER_TIMEOUT of a link.
+static constexpr size_t MAX_UNSENT_BYTES = 96U << 20;      ///< Unsent bytes above which messages are dropped.
 
 using ServerEndpoint = websocketpp::server<websocketpp::config::core>;
 using ClientEndpoint = websocketpp::client<websocketpp::config::core_client>;
 
-/** A session over one of websocketpp's endpoints. */
+/** A session over a client or server endpoint of websocketpp. */
 template <typename Endpoint> class UvSession : public WebsocketSession, public std::enable_shared_from_this<UvSession<Endpoint>> {
 public:
 	using Connection = typename Endpoint::connection_ptr;
@@ -35,7 +35,7 @@
 		        [this](websocketpp::connection_hdl, const char *data, size_t size) { return this->WriteOut(data, size); });
 		this->endpoint.set_open_handler([this](websocketpp::connection_hdl) {
 			this->open = true;
-			// Whoever is called may close this session, which drops its callbacks.
+			// Copied, as the handler may close this session, which clears its callbacks.
 			if (auto on_open = this->callbacks.on_open) on_open();
 		});
 		this->endpoint.set_message_handler([this](websocketpp::connection_hdl, typename Endpoint::message_ptr message) {
@@ -45,7 +45,7 @@
 		this->endpoint.set_fail_handler([this](websocketpp::connection_hdl) { this->ended = true; });
 	}
 
-	/** Begin to use \a connection over the socket. */
+	/** Start to use \a connection over the socket. */
 	void Begin(Connection new_connection)
 	{
 		this->connection = new_connection;
@@ -78,7 +78,7 @@
 	{
 		this->callbacks = {};
 		this->open = false;
-		// websocketpp holds its lock while it hands out what it reads: ended from there, it would wait for itself for ever.
+		// websocketpp holds its lock while it delivers messages; ending the connection from there would deadlock.
 		this->ended = true;
 		if (!this->reading) this->End();
 	}
@@ -89,7 +89,7 @@
 	/** Keep this session alive until its socket is closed. */
 	void Keep() { this->self = this->shared_from_this(); }
 
-	/** The connection is over. */
+	/** Close the socket and notify websocketpp and the user. */
 	void End()
 	{
 		if (this->closing) return;
@@ -104,16 +104,16 @@
 		if (on_close) on_close();
 	}
 
-	Endpoint endpoint; ///< websocketpp's endpoint, with one connection.
+	Endpoint endpoint; ///< websocketpp's endpoint for one connection.
 
 private:
 	websocketpp::lib::error_code WriteOut(const char *data, size_t size)
 	{
 		if (this->closing) return websocketpp::lib::error_code();
 		struct Write {
-			uv_write_t request;              ///< libuv's request.
-			std::string data;                ///< What is written.
-			std::shared_ptr<UvSession> from; ///< Session.
+			uv_write_t request;
+			std::string data;
+			std::shared_ptr<UvSession> from;
 		};
 		auto *write = new Write{{}, std::string(data, size), this->shared_from_this()};
 		write->request.data = write;
@@ -127,15 +127,15 @@
 		return websocketpp::lib::error_code();
 	}
 
-	Callbacks callbacks;             ///< Functions that get what happens.
-	uv_tcp_t socket{};               ///< Socket.
-	Connection connection;           ///< websocketpp's connection.
+	Callbacks callbacks;
+	uv_tcp_t socket{};
+	Connection connection;
 	std::shared_ptr<UvSession> self; ///< Keeps the session alive while its socket is open.
 	size_t unsent = 0;               ///< Bytes not yet written.
-	bool open = false;               ///< The handshake is over.
-	bool ended = false;              ///< It is over, by websocketpp or by Close().
-	bool reading = false;            ///< websocketpp is handing out what was read.
-	bool closing = false;            ///< The socket is being closed.
+	bool open = false;               ///< Whether the handshake has completed.
+	bool ended = false;              ///< Whether the connection has ended.
+	bool reading = false;            ///< Whether websocketpp is processing received bytes.
+	bool closing = false;            ///< Whether the socket is being closed.
 };
 
 std::shared_ptr<WebsocketSession> WebsocketSession::Dial(uv_loop_s *loop, const std::string &ip, uint16_t port, Callbacks callbacks)
@@ -149,9 +149,9 @@
 	sockaddr_in address{};
 	if (error || uv_ip4_addr(ip.c_str(), port, &address) != 0) return nullptr;
 	struct Connect {
-		uv_connect_t request;                               ///< libuv's request.
-		std::shared_ptr<UvSession<ClientEndpoint>> session; ///< Session.
-		ClientEndpoint::connection_ptr connection;          ///< websocketpp's connection.
+		uv_connect_t request;
+		std::shared_ptr<UvSession<ClientEndpoint>> session;
+		ClientEndpoint::connection_ptr connection;
 	};
 	auto *connect = new Connect{{}, session, connection};
 	connect->request.data = connect;
--- a/src/peer/websocket_session.h
+++ b/src/peer/websocket_session.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file websocket_session.h One websocket to another instance; plain C++17 header in front of websocketpp. */
+/** @file websocket_session.h One WebSocket to another instance; a C++17 header without websocketpp's own ones. */
 
 #pragma once
 
@@ -14,14 +14,14 @@
 
 namespace cottonspool {
 
-/** One connection to a peer. All functions are called on the loop's thread. */
+/** One connection to a peer. All functions are called on the event loop's thread. */
 class WebsocketSession {
 public:
-	/** Functions that get what happens on the connection. */
+	/** Handlers of events on the connection. */
 	struct Callbacks {
 		std::function<void()> on_open;                       ///< Messages can be sent from now on.
-		std::function<void(const std::string &)> on_message; ///< A binary message came.
-		std::function<void()> on_close;                      ///< It is over; nothing follows.
+		std::function<void(const std::string &)> on_message; ///< A binary message has arrived.
+		std::function<void()> on_close;                      ///< The connection has closed; no further events follow.
 	};
 
 	virtual ~WebsocketSession() = default;
@@ -29,13 +29,13 @@
 	/** Connect to \a ip and \a port. */
 	static std::shared_ptr<WebsocketSession> Dial(uv_loop_s *loop, const std::string &ip, uint16_t port, Callbacks callbacks);
 
-	/** Take the connection that waits at \a listener. */
+	/** Accept the connection pending at \a listener. */
 	static std::shared_ptr<WebsocketSession> Accept(uv_stream_s *listener, Callbacks callbacks);
 
-	/** Send \a payload. @return False when the connection is not open or too much is unsent; it was dropped then. */
+	/** Send \a payload. @return False if the connection is not open or its buffer is full; the message is dropped then. */
 	virtual bool Send(const std::string &payload) = 0;
 
-	/** Close at once. on_close is not called. */
+	/** Close at once, without a call of on_close. */
 	virtual void Close() = 0;
 };
 
