--- a/src/tests/end_watch_test.cpp
+++ b/src/tests/end_watch_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file end_watch_test.cpp Whether a target that broke a send off has ended. */
+/** @file end_watch_test.cpp Detection of crashes of targets that interrupted a send. */
 
 #include "gateway/end_watch.h"
 #include <doctest/doctest.h>
@@ -11,14 +11,14 @@
 
 namespace {
 
-/** What a target does with the connections that it takes. */
+/** When a target resets the connections that it accepts. */
 enum class Breaking : uint8_t {
-	AsItEnds, ///< It breaks the first one off once it was asked something, and takes no more.
-	Asked,    ///< It breaks each off once it was asked something.
-	AtOnce,   ///< It breaks each off as it comes, like one that has as many as it bears.
+	AsItEnds, ///< After the first request, and it accepts no further connection.
+	Asked,    ///< After each request.
+	AtOnce,   ///< At once, like a target at its connection limit.
 };
 
-/** A target that breaks connections off. */
+/** A target that resets connections. */
 class BreakingTarget {
 public:
 	BreakingTarget(uv_loop_t *loop, Breaking how) : how(how)
@@ -34,15 +34,15 @@
 		this->port = ntohs(at.sin_port);
 	}
 
-	/** Take no further connection. */
+	/** Accept no further connection. */
 	void Close()
 	{
 		if (uv_is_closing(reinterpret_cast<uv_handle_t *>(&this->listener)) == 0)
 			uv_close(reinterpret_cast<uv_handle_t *>(&this->listener), nullptr);
 	}
 
-	uint16_t port = 0;   ///< Its port.
-	int connections = 0; ///< Connections taken.
+	uint16_t port = 0;
+	int connections = 0; ///< Connections accepted.
 
 private:
 	static void OnConnection(uv_stream_t *listener, int)
@@ -53,7 +53,7 @@
 		uv_tcp_init(listener->loop, connection);
 		uv_accept(listener, reinterpret_cast<uv_stream_t *>(connection));
 		if (self->how == Breaking::AtOnce) return Reset(connection);
-		// What it is asked is read before it breaks the connection: whoever asked has sent it all.
+		// The request is read before the reset, so that the client has sent it completely.
 		uv_read_start(
 		        reinterpret_cast<uv_stream_t *>(connection),
 		        [](uv_handle_t *, size_t size, uv_buf_t *buffer) { *buffer = uv_buf_init(new char[size], static_cast<unsigned>(size)); },
@@ -69,15 +69,14 @@
 		uv_tcp_close_reset(connection, [](uv_handle_t *handle) { delete reinterpret_cast<uv_tcp_t *>(handle); });
 	}
 
-	Breaking how;        ///< What it does.
-	uv_tcp_t listener{}; ///< Listening socket.
+	Breaking how;
+	uv_tcp_t listener{};
 };
 
 } // namespace
 
-// A request that ends the engines it runs on reached four of them instead of three: the first engine's process still took the connection
-// on which it was asked for a sign of life, and broke it 0.3 ms later, so its end was held against nobody. Seen in one of six plays.
-TEST_CASE("Ends - a target that breaks the sign of life off as it ends has ended; one that goes on taking connections has not")
+// Guards against missing a crash because the terminating process still accepted the probe's connection and then reset it.
+TEST_CASE("Crash check - a target that resets the probe as it terminates has crashed; one that keeps accepting connections has not")
 {
 	for (Breaking how : {Breaking::AsItEnds, Breaking::Asked, Breaking::AtOnce}) {
 		bool ends = how == Breaking::AsItEnds;
--- a/src/tests/gateway_limits_test.cpp
+++ b/src/tests/gateway_limits_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_limits_test.cpp The times that an instance derives from the operators' bounds. */
+/** @file gateway_limits_test.cpp The timeouts that an instance derives from the platform's bounds. */
 
 #include "gateway/gateway_type.h"
 #include "platform/node_settings.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** A store that swallows each call until it returns; from then on it answers at once. */
+/** A store that never answers calls made during its outage, and answers later ones at once. */
 class AbsentStore : public TableStore {
 public:
 	uint64_t ReadRows(const std::string &, const std::string &, RowsDone done) override { return this->Take(std::move(done)); }
@@ -21,7 +21,7 @@
 	uint64_t RemoveRow(const std::string &, const std::string &, WriteDone) override { return 0; }
 	void Cancel(uint64_t call) override { this->calls.erase(call); }
 
-	/** Answer what was asked since the return. */
+	/** Answer the calls made after the outage. */
 	void Answer()
 	{
 		std::map<uint64_t, RowsDone> due = std::move(this->calls);
@@ -31,7 +31,7 @@
 		for (auto &[number, done] : due) done({page, StoreFailure::NoAnswer, ""});
 	}
 
-	bool present = true; ///< Calls made now are answered.
+	bool present = true; ///< Whether the store is available.
 
 private:
 	uint64_t Take(RowsDone done)
@@ -40,12 +40,12 @@
 		return ++this->last;
 	}
 
-	std::map<uint64_t, RowsDone> calls; ///< Calls that will be answered.
-	uint64_t last = 0;                  ///< Number of the newest call.
-	uint64_t version = 1;               ///< Version of the newest answer.
+	std::map<uint64_t, RowsDone> calls; ///< Calls to be answered.
+	uint64_t last = 0;                  ///< Number of the latest call.
+	uint64_t version = 1;               ///< Version in the latest answer.
 };
 
-/** @return Longest time from the store's return until a watch has heard from it, whenever the outage ends. */
+/** @return The longest time from the store's recovery to an answer to the watch, over outages of different lengths. */
 Duration LongestReturn(const WatchLimits &limits, bool known_before)
 {
 	Duration longest{0};
@@ -78,7 +78,7 @@
 
 } // namespace
 
-TEST_CASE("Limits - a store that returns is heard well inside the calm time after which the bounds hold again")
+TEST_CASE("Limits - a store that recovers is noticed well within the platform's recovery time")
 {
 	for (int contact_s : {2, 3, 4, 6}) {
 		NodeSettings settings;
--- a/src/tests/peer_exchange_test.cpp
+++ b/src/tests/peer_exchange_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_exchange_test.cpp How an instance gets to know the others at its start. */
+/** @file peer_exchange_test.cpp Discovery of the other instances at the start of one. */
 
 #include "gateway/peer_exchange.h"
 #include "tests/hand_store.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** One instance that exchanges news, with a store that is answered by hand. */
+/** One instance with an exchange, and a store whose answers the test gives. */
 struct ExchangeWorld {
 	explicit ExchangeWorld(bool first_start, uint16_t port = 0)
 	{
@@ -39,18 +39,18 @@
 		this->store.Answer({page, StoreFailure::NoAnswer, ""});
 	}
 
-	uv_loop_t loop{};                                              ///< Loop.
-	LengthEstimate lengths{{}};                                    ///< Needed by the table.
-	TargetTable targets{{}, this->lengths};                        ///< Needed by the load.
-	NameTable<ModelNumber> pools;                                  ///< Needed by the load.
-	PeerLoad load{this->targets, this->pools, milliseconds(2000)}; ///< Calls of others.
-	HandStore store;                                               ///< Store.
-	std::optional<PeerExchange> exchange;                          ///< Under test.
+	uv_loop_t loop{};
+	LengthEstimate lengths{{}};             ///< Needed by the table of targets.
+	TargetTable targets{{}, this->lengths}; ///< Needed by the load.
+	NameTable<ModelNumber> pools;           ///< Needed by the load.
+	PeerLoad load{this->targets, this->pools, milliseconds(2000)};
+	HandStore store;
+	std::optional<PeerExchange> exchange; ///< The exchange under test.
 };
 
 } // namespace
 
-TEST_CASE("Exchange - at the first start the own row is written before the others' are read, so that of two one sees the other")
+TEST_CASE("Exchange - during bootstrap the own row is written before the list is read, so that of two instances one sees the other")
 {
 	ExchangeWorld world(true);
 	world.exchange->OnTick(MonotonicNow());
@@ -64,7 +64,7 @@
 	CHECK(world.store.calls.empty());
 }
 
-TEST_CASE("Exchange - an instance whose row is left from an earlier life does not write it again")
+TEST_CASE("Exchange - an instance whose row is left from an earlier incarnation does not write it again")
 {
 	std::string own;
 	{
@@ -94,7 +94,7 @@
 	CHECK(world.exchange->Instances() == 2);
 }
 
-TEST_CASE("Exchange - a row that is removed late is written again, but not by an instance that stops")
+TEST_CASE("Exchange - a row that a delayed removal deletes is written again, but not by an instance that stops")
 {
 	for (bool stops : {false, true}) {
 		ExchangeWorld world(false);
@@ -105,7 +105,7 @@
 		if (stops) world.exchange->Leave();
 		world.exchange->OnTick(MonotonicNow());
 		world.AnswerList({{"self", "", 11, true}});
-		// Not at once: a store that turns this instance away would be asked at each piece of news.
+		// Written after a delay, as a store that rejects the row would otherwise get it with every update.
 		CHECK(world.store.writes.size() == 1);
 		world.exchange->OnTick(MonotonicNow() + ExchangeLimits{}.register_pause);
 		CHECK(world.store.writes.size() == (stops ? 1 : 2));
--- a/src/tests/peer_links_test.cpp
+++ b/src/tests/peer_links_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_links_test.cpp Links to other instances, on a loop of their own, and what goes over them. */
+/** @file peer_links_test.cpp Links to other instances on a real loop, and the messages on them. */
 
 #include "peer/packed_message.h"
 #include "peer/peer_links.h"
@@ -29,7 +29,7 @@
 
 	std::string Address() const { return "127.0.0.1:" + std::to_string(this->port); }
 
-	/** Let the loop run until \a done, for a bounded number of turns. */
+	/** Run the loop until \a done, for a limited number of turns. */
 	template <typename Done> void Run(Done done)
 	{
 		static constexpr int MOST_TURNS = 1000;
@@ -39,18 +39,17 @@
 		}
 	}
 
-	uv_loop_t loop{};                                   ///< Loop.
-	std::function<void(const PeerMessage &)> on_answer; ///< Called with what the dialling instance gets.
-	uint16_t port = 0;                                  ///< Port of the one that is dialled.
+	uv_loop_t loop{};
+	std::function<void(const PeerMessage &)> on_answer; ///< Called with each message that the connecting instance gets.
+	uint16_t port = 0;                                  ///< Port of the accepting instance.
 	PeerLinks answering{&this->loop, [](const PeerMessage &message, const PeerLinks::Reply &reply) { reply(message); }};
 	PeerLinks dialling{&this->loop, [this](const PeerMessage &message, const PeerLinks::Reply &) { this->on_answer(message); }};
 };
 
 } // namespace
 
-// Some of a thousand instances that started together said nothing any more, were never ready and did not end when told to. They had
-// closed a link while a message of that very link was handed out: the answer said that the other one is in another cell.
-TEST_CASE("Links - a link that is closed from the message that came on it is closed, and nothing hangs")
+// Guards against a deadlock when a link is closed by the handler of a message that arrived on it.
+TEST_CASE("Links - a link that is closed by the handler of its own message closes without a deadlock")
 {
 	LinkedPair pair;
 	int answers = 0;
@@ -71,7 +70,7 @@
 	CHECK(pair.dialling.OpenLinks() == 0);
 }
 
-TEST_CASE("Links - long messages arrive as they were sent, and take less on the link")
+TEST_CASE("Links - long messages are compressed and arrive as they were sent")
 {
 	TablesMessage message{"i", "hall", false, {}, {}};
 	TableNews news{"targets", {1, 2}, {1, 900}, true, true, {}, {1, 950}};
@@ -90,7 +89,7 @@
 	CHECK(back.tables[0].rows[999].value == news.rows[999].value);
 	CHECK(back.tables[0].read == news.read);
 	CHECK(back.parts == message.parts);
-	// Cut, changed, or with a length that it does not have, it is none.
+	// Truncated, altered, or with a false length, the message is malformed.
 	CHECK_FALSE(DecodePeerMessage(bytes.substr(0, bytes.size() - 1)));
 	CHECK_FALSE(DecodePeerMessage(PackMessage(bytes + std::string(5000, 'x'))));
 	std::string longer = bytes;
@@ -98,7 +97,7 @@
 	CHECK_FALSE(DecodePeerMessage(longer));
 }
 
-TEST_CASE("Links - an instance of an older release tells no cells, and is understood")
+TEST_CASE("Links - a presence message of an older release, which has no cells, is decoded")
 {
 	Result<PeerMessage> read = DecodePeerMessage(EncodePeerMessage(PresenceMessage{"i", {"1.2.3.4:5", "hall", 20}, 7, {8, {1, 2}}}));
 	REQUIRE(read);
--- a/src/tests/rule_switches_test.cpp
+++ b/src/tests/rule_switches_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file rule_switches_test.cpp Mechanisms that can be switched one by one. */
+/** @file rule_switches_test.cpp Features that can be switched off or on one by one. */
 
 #include "gateway/rule_switches.h"
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 	CHECK(limits.router.use_interval);
 }
 
-TEST_CASE("Switches - nothing to switch changes nothing, and a wrong name is told")
+TEST_CASE("Switches - an empty list changes nothing, and an unknown name is an error")
 {
 	GatewayLimits limits;
 	REQUIRE(SwitchRules("", limits).has_value());
--- a/src/tests/suspension_test.cpp
+++ b/src/tests/suspension_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file suspension_test.cpp A machine that was suspended: time has passed, and no timer has told so. */
+/** @file suspension_test.cpp Suspended machines: time has passed without timers running. */
 
 #include "decision/cold_start.h"
 #include "decision/dispatcher.h"
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** One of each holder of a time, set up at one moment. */
+/** One object of each kind that depends on time, all set up at the same moment. */
 struct Holders {
 	Holders()
 	{
@@ -64,7 +64,7 @@
 		for (const TargetEvent &event : events) this->usable += event.change == TargetChange::Usable ? 1 : -1;
 	}
 
-	/** A tick comes, at last. */
+	/** Run a tick. */
 	void Tick(TimePoint at)
 	{
 		this->now = at;
@@ -74,40 +74,41 @@
 		this->expired += this->queue.TakeExpired(at).size();
 	}
 
-	/** @return What each of them says at \a at. */
+	/** @return The state of all objects at \a at. */
 	std::string Say(TimePoint at) const
 	{
-		std::string text = std::string("lease ") + (this->lease.Held(at) ? "held" : "over");
+		std::string text = std::string("lease ") + (this->lease.Held(at) ? "held" : "expired");
 		text += std::string(", cold ") + (this->cold.IsCold(at) ? "yes" : "no") + (this->cold.MaySend(at) ? " may send" : " waits");
 		text += ", request " + std::to_string(static_cast<int>(this->quarantine.Judge(RequestPrint{7}, at)));
-		text += ", emptied " + std::to_string(this->places.Emptied(at).size()) + ", usable " + std::to_string(this->usable);
-		text += ", load since " + std::to_string(this->refusals.Age(at).count()) + ", peers " + std::to_string(this->peers.Live().size());
-		text += std::string(", table ") + (this->watch.ReadsItself(at) ? "read here" : "left to others");
+		text += ", evacuated " + std::to_string(this->places.Emptied(at).size()) + ", usable " + std::to_string(this->usable);
+		text += ", overloaded for " + std::to_string(this->refusals.Age(at).count()) + ", peers " +
+		        std::to_string(this->peers.Live().size());
+		text += std::string(", table ") + (this->watch.ReadsItself(at) ? "read here" : "read by peers");
 		return text + ", expired " + std::to_string(this->expired);
 	}
 
-	TimePoint start{std::chrono::hours(1)};                                              ///< When all was set up.
-	TimePoint now = start;                                                               ///< Clock of the table.
-	Lease lease{"self", std::chrono::seconds(5)};                                        ///< Held for five seconds.
-	ColdStart cold;                                                                      ///< Cold for eight, its share used up.
-	Quarantine quarantine{QuarantineLimits{}};                                           ///< Two ends of a request.
-	PlaceTable places{"own", {{"own", "r"}, {"other", "r"}}};                            ///< A hall that the store has forgotten.
-	TargetRegistry registry{RegistryLimits{}};                                           ///< A target that it has forgotten.
-	RefusalSpan refusals;                                                                ///< One refusal.
-	LengthEstimate lengths{{}};                                                          ///< Needed by the table.
-	TargetTable targets{{}, this->lengths};                                              ///< Needed by the load.
-	NameTable<ModelNumber> pools;                                                        ///< Needed by the load.
-	PeerLoad peers{this->targets, this->pools, std::chrono::milliseconds(1800)};         ///< A peer that was heard.
-	HandStore store;                                                                     ///< Store.
-	TableWatch watch{this->store, "table", WatchLimits{}, [this] { return this->now; }}; ///< A table left to others.
-	CallQueue queue{QueueLimits{}};                                                      ///< Calls that wait.
-	size_t expired = 0;                                                                  ///< Of them, those whose time is over.
+	TimePoint start{std::chrono::hours(1)};                                      ///< Time of the setup.
+	TimePoint now = start;                                                       ///< Clock of the table watch.
+	Lease lease{"self", std::chrono::seconds(5)};                                ///< Held for five seconds.
+	ColdStart cold;                                                              ///< Cold for eight seconds, with its share used up.
+	Quarantine quarantine{QuarantineLimits{}};                                   ///< Two crashes under one request.
+	PlaceTable places{"own", {{"own", "r"}, {"other", "r"}}};                    ///< A hall that the restored store no longer lists.
+	TargetRegistry registry{RegistryLimits{}};                                   ///< A target that the restored store no longer lists.
+	RefusalSpan refusals;                                                        ///< One rejection.
+	LengthEstimate lengths{{}};                                                  ///< Needed by the table of targets.
+	TargetTable targets{{}, this->lengths};                                      ///< Needed by the load.
+	NameTable<ModelNumber> pools;                                                ///< Needed by the load.
+	PeerLoad peers{this->targets, this->pools, std::chrono::milliseconds(1800)}; ///< One live peer.
+	HandStore store;
+	TableWatch watch{this->store, "table", WatchLimits{}, [this] { return this->now; }}; ///< A table that peers read.
+	CallQueue queue{QueueLimits{}};                                                      ///< Four waiting calls.
+	size_t expired = 0;                                                                  ///< Calls removed after their deadline.
 	int usable = 0;                                                                      ///< Targets in use.
 };
 
 } // namespace
 
-TEST_CASE("Suspension - after a jump of any length every holder of a time says what it would say had time passed in small steps")
+TEST_CASE("Suspension - after a clock jump of any length all timeouts are as if time had passed in small steps")
 {
 	bool good = rc::check("jumps", [] {
 		Duration jump = std::chrono::milliseconds(*rc::gen::inRange(0, 40000));
@@ -115,7 +116,7 @@
 		Holders went_on;
 		TimePoint end = stood_still.start + jump;
 		for (TimePoint at = went_on.start; at < end; at += std::chrono::milliseconds(250)) went_on.Tick(at);
-		// What needs no tick is right before the first one; the rest is with it.
+		// State that needs no tick is correct before the first one, the rest after it.
 		RC_ASSERT(stood_still.lease.Held(end) == went_on.lease.Held(end));
 		RC_ASSERT(stood_still.cold.MaySend(end) == went_on.cold.MaySend(end));
 		RC_ASSERT(stood_still.places.Emptied(end) == went_on.places.Emptied(end));
@@ -126,7 +127,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Dispatcher - time that jumps while no tick comes: what is late is not sent, whatever event comes first")
+TEST_CASE("Dispatcher - time that jumps without a tick: expired calls are not sent, whichever event comes first")
 {
 	Dispatcher dispatcher(DispatchLimits{}, MakeRouter("headroom", 0));
 	TimePoint now{std::chrono::hours(1)};
@@ -140,7 +141,7 @@
 	REQUIRE(dispatcher.Submit(call, now).sends.size() == 1);
 	call.id = CallId{2};
 	REQUIRE(dispatcher.Submit(call, now).sends.empty());
-	// Room comes up meanwhile: a call in time, of another account, is sent there.
+	// Another target becomes available; a call within its deadline, of another account, is sent there.
 	TargetNumber second = dispatcher.Targets().Configure("second", "hall", {ModelNumber{0}}, false);
 	dispatcher.Targets().SetUnreported(second, 8);
 	now += std::chrono::seconds(10);
@@ -158,7 +159,7 @@
 	CHECK(late.give_ups[0].reason == GiveUpReason::DeadlinePassed);
 }
 
-TEST_CASE("Suspension - the clock of the core counts it")
+TEST_CASE("Suspension - the monotonic clock counts the time of a suspension")
 {
 	timespec now{};
 	REQUIRE(clock_gettime(CLOCK_BOOTTIME, &now) == 0);
--- a/src/tests/table_hand_over_test.cpp
+++ b/src/tests/table_hand_over_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_hand_over_test.cpp Tables that an instance of a divided fleet takes from another one as it starts, over real links. */
+/** @file table_hand_over_test.cpp Table snapshots that a starting instance of a system with cells gets from a peer over real links. */
 
 #include "gateway/peer_exchange.h"
 #include "tests/hand_store.h"
@@ -15,7 +15,7 @@
 
 const char *const HALL = "hall-a";
 
-/** One instance of a fleet of a hundred others, nearly all of which don't run, on a loop that it shares. */
+/** One instance on a shared loop; the list of instances has a hundred others that don't run. */
 struct FleetInstance {
 	FleetInstance(uv_loop_t *loop, std::string name)
 	    : name(std::move(name)), exchange(loop, this->store, this->load, this->name, HALL, {}, [](const ReportNews &) {})
@@ -24,7 +24,7 @@
 		REQUIRE(this->exchange.Start({"127.0.0.1", 0}, MonotonicNow()));
 	}
 
-	/** Let it read that the hundred and \a others are listed, and write its own row. @return That row. */
+	/** Answer its read of the list with the hundred and \a others, and let it write its own row. @return That row. */
 	StoredRow List(std::vector<StoredRow> others)
 	{
 		static constexpr size_t NOT_RUNNING = 100;
@@ -45,19 +45,19 @@
 		return limits;
 	}
 
-	std::string name;                                              ///< Name.
-	LengthEstimate lengths{{}};                                    ///< Needed by the table of targets.
-	TargetTable targets{{}, this->lengths};                        ///< Needed by the load.
-	NameTable<ModelNumber> pools;                                  ///< Needed by the load.
-	PeerLoad load{this->targets, this->pools, milliseconds(2000)}; ///< Calls of others.
-	HandStore store;                                               ///< Store with the list of instances.
-	HandStore table_store;                                         ///< Store with the tables.
-	TableWatch first{this->table_store, "first", Kept()};          ///< A table.
-	TableWatch second{this->table_store, "second", Kept()};        ///< Another one.
-	PeerExchange exchange;                                         ///< Under test.
+	std::string name;
+	LengthEstimate lengths{{}};             ///< Needed by the table of targets.
+	TargetTable targets{{}, this->lengths}; ///< Needed by the load.
+	NameTable<ModelNumber> pools;           ///< Needed by the load.
+	PeerLoad load{this->targets, this->pools, milliseconds(2000)};
+	HandStore store;       ///< Store with the list of instances.
+	HandStore table_store; ///< Store with the tables.
+	TableWatch first{this->table_store, "first", Kept()};
+	TableWatch second{this->table_store, "second", Kept()};
+	PeerExchange exchange; ///< The exchange under test.
 };
 
-/** @return The name of an instance in the same one of four cells as \a own. */
+/** @return The name of an instance that is in the same of four cells as \a own. */
 std::string InCellOf(const std::string &own)
 {
 	CellDivision division(own);
@@ -70,9 +70,8 @@
 
 } // namespace
 
-// Half of a thousand instances that had lost power knew their targets after 5 s: who had read one table waited for who had read the other,
-// and told neither until it had both.
-TEST_CASE("Exchange - an instance that starts in a divided fleet takes each table from another one as soon as that one knows it")
+// Guards against a deadlock in which two instances, each of which has read one table, wait for the other's table before they send any.
+TEST_CASE("Exchange - an instance that starts in a system with cells gets each table from a peer as soon as the peer knows it")
 {
 	uv_loop_t loop;
 	uv_loop_init(&loop);
@@ -97,7 +96,7 @@
 		CHECK(starts.first.IsKnown());
 		CHECK(starts.first.RowsVersion() == knows.first.RowsVersion());
 		CHECK_FALSE(starts.second.IsKnown());
-		// What was asked too early is told once it is known.
+		// A request that came before the table was known is answered once it is.
 		knows.second.Start(MonotonicNow());
 		knows.table_store.Answer(Page({"c"}, 7));
 		run([&] { return starts.second.IsKnown(); });
