--- a/src/tests/suspension_test.cpp
+++ b/src/tests/suspension_test.cpp
@@ -77,7 +77,7 @@
 	/** @return The state of all objects at \a at. */
 	std::string Say(TimePoint at) const
 	{
-		std::string text = std::string("lease ") + (this->lease.Held(at) ? "held" : "expired");
+		std::string text = std::string("lease ") + (this->lease.Held(at) ? "held" : "over");
 		text += std::string(", cold ") + (this->cold.IsCold(at) ? "yes" : "no") + (this->cold.MaySend(at) ? " may send" : " waits");
 		text += ", request " + std::to_string(static_cast<int>(this->quarantine.Judge(RequestPrint{7}, at)));
 		text += ", evacuated " + std::to_string(this->places.Emptied(at).size()) + ", usable " + std::to_string(this->usable);
