--- a/src/gateway/rule_switches.h
+++ b/src/gateway/feature_switches.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file rule_switches.h Features that can be switched off or on one by one, for ablation measurements. */
+/** @file feature_switches.h Features that can be switched off or on one by one, for ablation measurements. */
 
 #pragma once
 
@@ -11,16 +11,16 @@
 namespace cottonspool {
 
 /** A feature that can be switched. */
-struct RuleSwitch {
+struct FeatureSwitch {
 	const char *name;
 	const char *effect;                   ///< Effect of the switch, for the help text.
 	void (*apply)(GatewayLimits &limits); ///< Sets the switch in the limits of an instance.
 };
 
 /** @return All features that can be switched. */
-std::span<const RuleSwitch> RuleSwitches();
+std::span<const FeatureSwitch> FeatureSwitches();
 
 /** Apply the switches \a names, separated by commas, to \a limits. @return An error that names the first unknown one. */
-Result<void> SwitchRules(std::string_view names, GatewayLimits &limits);
+Result<void> ApplySwitches(std::string_view names, GatewayLimits &limits);
 
 } // namespace cottonspool
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -5,11 +5,11 @@
 #pragma once
 
 #include "core/name_table.h"
-#include "decision/call_meter.h"
-#include "decision/decision_carrier.h"
-#include "decision/place_table.h"
-#include "gateway/end_records.h"
-#include "gateway/end_watch.h"
+#include "decision/arrival_counter.h"
+#include "decision/decision_executor.h"
+#include "decision/placement_table.h"
+#include "gateway/crash_records.h"
+#include "gateway/crash_watch.h"
 #include "gateway/peer_exchange.h"
 #include "gateway/relay_call.h"
 #include "metrics/metrics.h"
@@ -38,52 +38,52 @@
 	void Reload();
 
 	/** Execute decisions of the dispatcher. */
-	void Carry(Decisions decisions);
+	void Execute(Decisions decisions);
 
 	/** Remove \a call, which has got its final answer. */
-	void OnCallOver(CallId call);
+	void OnCallFinished(CallId call);
 
 	/** Apply the load and the signals in the head of \a target's answer to \a request, which was sent at \a asked. */
-	void OnAnswerBegun(const RelayRequest &request, TargetNumber target, const AnswerInfo &answer, TimePoint asked);
+	void OnAnswerHead(const RelayRequest &request, TargetNumber target, const AnswerInfo &answer, TimePoint asked);
 
 	/** Publish that a generation of this instance runs at \a target, or has advanced there. @param at_once Don't wait for a batch. */
-	void OnCallAt(const RelayRequest &request, TargetNumber target, bool at_once);
+	void OnCallProgress(const RelayRequest &request, TargetNumber target, bool at_once);
 
 	/**
 	 * Count the memory of \a request's run at \a target, to which it is being copied, here and at the peers.
 	 * Without this, all runs that leave an engine at the same time would choose the same new engine.
 	 */
-	void OnCopyBegun(const RelayRequest &request, TargetNumber target);
+	void OnCopyStarted(const RelayRequest &request, TargetNumber target);
 
 	/** Stop counting the copy, which was used or abandoned. */
-	void OnCopyOver(const RelayRequest &request, TargetNumber target);
+	void OnCopyFinished(const RelayRequest &request, TargetNumber target);
 
 	/** Publish that a generation of this instance is at no target for now. */
-	void OnCallAway(CallId call) { this->peers.TellEnded(call); }
+	void OnCallUnassigned(CallId call) { this->peers.PublishCallEnded(call); }
 
 	/** @return Halls in which the run of \a request may continue under the configuration in force. */
 	std::vector<HallPreference> HallsFor(const RelayRequest &request) const;
 
 	/** \a target interrupted the send of \a request, which had progressed to \a stage. */
-	void OnSendBroken(const RelayRequest &request, TargetNumber target, RunStage stage, TimePoint now);
+	void OnSendInterrupted(const RelayRequest &request, TargetNumber target, RunStage stage, TimePoint now);
 
 	/** The send of \a request to \a target was cancelled, as its caller disconnected. */
-	void OnSendWithdrawn(const RelayRequest &request, TargetNumber target, RunStage stage, TimePoint now);
+	void OnSendCancelled(const RelayRequest &request, TargetNumber target, RunStage stage, TimePoint now);
 
 	/** The run of \a request succeeded: clear it of crashes that happened under it. */
-	void OnAnsweredWell(const RelayRequest &request);
+	void OnAnsweredSuccessfully(const RelayRequest &request);
 
 	/** @return Name and incarnation of \a target. */
-	const TargetLife &LifeOf(TargetNumber target) const { return this->records[target.value].life; }
+	const TargetIncarnation &IncarnationOf(TargetNumber target) const { return this->records[target.value].incarnation; }
 
 	/** @return The address of \a target. */
 	const Endpoint &AddressOf(TargetNumber target) const { return this->records[target.value].address; }
 
 	/** @return The limits on callers that are in force. */
-	const FrontLimits &FrontLimitsInForce() const { return this->front.limits; }
+	const FrontLimits &ActiveFrontLimits() const { return this->front.limits; }
 
 	/** @return Requests aborted by the end of the process. */
-	size_t CutCalls() const { return this->cut_calls; }
+	size_t AbortedCalls() const { return this->aborted_calls; }
 
 	GatewayLimits limits;  ///< Timeouts and limits.
 	HttpUpstream upstream; ///< HTTP client for the targets and the store.
@@ -91,43 +91,43 @@
 	Dispatcher dispatcher;
 
 private:
-	void OnTargetChecked(const TargetCheck &check);
-	void OnEndRecords(const std::vector<EndRecord> &added, const std::vector<EndRecord> &removed, TimePoint now);
-	void OnSuspicionChanged(TimePoint now);
-	void FollowEnds(TimePoint now);
-	void OnPeerReport(const ReportNews &news);
+	void OnCrashChecked(const CrashCheck &check);
+	void OnCrashRecords(const std::vector<CrashRecord> &added, const std::vector<CrashRecord> &removed, TimePoint now);
+	void OnQuarantineChanged(TimePoint now);
+	void ExpireCrashRecords(TimePoint now);
+	void OnPeerReport(const ReportUpdate &news);
 	void LogReport(TargetNumber target, const LoadReport &report);
 	void OnHallLoad(const HallLoadMessage &message);
-	void TakeReport(TargetNumber target, LoadReport report, Duration age);
+	void ApplyReport(TargetNumber target, LoadReport report, Duration age);
 	/** What the gateway stores about one target beside what the dispatcher does. */
 	struct TargetRecord {
 		Endpoint address;
 		std::string pool;
-		TargetLife life;
+		TargetIncarnation incarnation;
 		bool engine = false;      ///< Whether it is an engine, which has load reports.
 		uint64_t reports = 0;     ///< Reports applied so far.
 		TimePoint next_report;    ///< When to fetch the next report.
 		TimePoint idle_at;        ///< When it was last known to be idle.
 		TimePoint reported_at;    ///< When the last report arrived, fetched here or by a peer.
-		TimePoint report_limit;   ///< When the fetch in progress times out.
+		TimePoint report_timeout; ///< When the fetch in progress times out.
 		uint64_t report_call = 0; ///< Fetch in progress; 0 for none.
-		TargetSigns signs;        ///< Its signals, as last logged.
-		TimePoint signs_logged;
-		bool limit_logged = false; ///< Whether the last logged change set a rate limit, rather than removed it.
+		TargetSignals signals;    ///< Its signals, as last logged.
+		TimePoint signals_logged_at;
+		bool limited_as_logged = false; ///< Whether the last logged change set a rate limit, rather than removed it.
 		TimePoint limit_logged_at;
 	};
 
-	void OnLoadTold(TargetNumber target, const TargetLoad &load);
+	void OnLoadHeader(TargetNumber target, const TargetLoad &load);
 	/** The target incarnation \a target has announced that it drains. @param source Where the notice came from, for logs. */
-	void OnOwnWord(const std::string &target, const char *source, TimePoint now);
+	void OnTargetDrainNotice(const std::string &target, const char *source, TimePoint now);
 	/** The rate limit of \a target has changed, according to the answer to a request sent at \a asked. @param source As for logs. */
 	void OnLimitChanged(TargetNumber target, const char *source, TimePoint asked, TimePoint now);
 	/** Apply what another instance has learned from a target. */
-	void OnPeerSigns(const SignNews &news);
+	void OnPeerSignals(const TargetSignalUpdate &news);
 	/** @return The state of the rate limit of \a target, for the peers. */
-	SignNews NewsOf(TargetNumber target, TimePoint now) const;
+	TargetSignalUpdate LimitUpdateOf(TargetNumber target, TimePoint now) const;
 	/** @return All rate limits and drain notices known here, for an instance that has just connected. */
-	std::vector<SignNews> KnownSigns(TimePoint now) const;
+	std::vector<TargetSignalUpdate> KnownSignals(TimePoint now) const;
 	/** @return Names of the instances that share the rate limits of targets in \a hall; see PeerExchange::SharersOf(). */
 	const std::vector<std::string> &SharersOf(const std::string &hall);
 	/**
@@ -137,16 +137,16 @@
 	 */
 	bool HasJustStarted(Duration window, TimePoint now) const;
 	/** Recompute this instance's share of the rate limit of \a target. */
-	void ShareLimit(TargetNumber target, TimePoint now);
+	void UpdateLimitShare(TargetNumber target, TimePoint now);
 	/** Request leases of the rate limit of \a target from its other sharers, as far as callers here need more. */
-	void AskLeases(TargetNumber target, TimePoint now);
+	void RequestLeases(TargetNumber target, TimePoint now);
 	/** Answer another instance's request for a part of this one's share. @return The part granted. */
-	uint32_t OnLeaseAsk(const LeaseAskMessage &ask);
+	uint32_t OnLeaseRequest(const LeaseRequestMessage &ask);
 	void OnLeaseGrant(const LeaseGrantMessage &grant);
 	/** Recompute the shares of all rate limits, as the set of instances may have changed. */
 	void RefreshLimits(TimePoint now);
 	/** Log the signals in \a target's answer to \a request if they are new. */
-	void LogSigns(const RelayRequest &request, TargetNumber target, const TargetSigns &signs, TimePoint now);
+	void LogSignals(const RelayRequest &request, TargetNumber target, const TargetSignals &signals, TimePoint now);
 
 	void HandleRequest(const std::shared_ptr<FrontExchange> &exchange);
 	void HandleReady(const std::shared_ptr<FrontExchange> &exchange);
@@ -154,108 +154,108 @@
 	void Reject(const std::shared_ptr<FrontExchange> &exchange, const RequestInfo &info, int status, const char *reason,
 	            std::optional<Duration> retry_after);
 	bool Admit(const std::shared_ptr<FrontExchange> &exchange, RelayRequest *request);
-	void FillSpec(RelayRequest *request, TimePoint now);
+	void FillCallSpec(RelayRequest *request, TimePoint now);
 	void Begin(const std::shared_ptr<FrontExchange> &exchange, RelayRequest request);
 
 	void WatchStore();
-	void FollowOperators();
+	void FollowConfiguration();
 	void FollowTargets();
 	void FollowInstances();
 	/**
 	 * Log when \a watch finds the store unavailable, available, outdated or restored.
 	 * @param table Name of the table in logs.
-	 * @param on_other_store Called when the store has been restored from a backup, before the next snapshot of the table.
+	 * @param on_store_restored Called when the store has been restored from a backup, before the next snapshot of the table.
 	 */
-	void LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_other_store);
+	void LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_store_restored);
 	void OnOperatorRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
 	void OnConfigurationRows(const std::vector<StoredRow> &rows);
-	void OnEmptiedRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
+	void OnEvacuationRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
 	/** Update which halls are evacuated; that also changes with time. */
-	void RefreshEmptied(TimePoint now);
-	void OnHallTakenBack(const std::string &hall, TimePoint now);
-	void NoteCold(TargetNumber number, const ListedTarget &listed, Duration cold_left, TimePoint now);
+	void RefreshEvacuated(TimePoint now);
+	void OnHallReinstated(const std::string &hall, TimePoint now);
+	void MarkCold(TargetNumber number, const ListedTarget &listed, Duration cold_remaining, TimePoint now);
 	void RefreshHalls(TimePoint now);
 	void ApplyConfiguration(ServingConfiguration configuration);
 	/** Start to read the tables, from the store or from peers, once it is known how many instances there are. */
-	void BeginTables(TimePoint now);
+	void StartTables(TimePoint now);
 	/** The list of instances is complete, or their division into cells has changed. */
-	void OnListed(TimePoint now);
+	void OnInstancesListed(TimePoint now);
 	/** Remove the targets of other cells from \a rows of the table of targets. */
 	void SelectTargets(std::vector<StoredRow> &rows, bool whole);
 	/** @return The part of \a bound, a rate for all instances, that belongs to this cell for \a target. */
-	RateBound CellBound(TargetNumber target, RateBound bound) const;
+	RateLimit CellRateLimit(TargetNumber target, RateLimit bound) const;
 	void OnTargetRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
 	/** Count an unreadable row \a key of the table of targets, and log it once for each cause. */
-	void NoteUnreadable(const std::string &key, const Error &error);
+	void ReportUnreadable(const std::string &key, const Error &error);
 	void OnTargetEvents(const std::vector<TargetEvent> &events, TimePoint now);
 	void UseTarget(const ListedTarget &target);
-	void LeaveTarget(const ListedTarget &target, const char *source, TimePoint now);
+	void DrainTarget(const ListedTarget &target, const char *source, TimePoint now);
 	/** Fail the requests at the target incarnation \a name, which has ended. */
-	void EndTarget(const std::string &name, TimePoint now);
+	void FailCallsAt(const std::string &name, TimePoint now);
 	void RefreshTargets();
-	void RefreshScope();
+	void RefreshPeerScope();
 	void PollReports(TimePoint now);
 	void PollReport(TargetNumber target, TimePoint now);
-	Duration ReportPeriod(const TargetState &target) const;
+	Duration ReportInterval(const TargetState &target) const;
 	/** Update the list of targets whose reports are fetched. */
-	void RefreshPolled(TimePoint now);
+	void RefreshPolledTargets(TimePoint now);
 	void OnReport(TargetNumber target, const std::optional<EngineReport> &report);
 
 	void OnTick();
 	/** Detect a suspension of the process before anything is decided on outdated data. */
-	void CheckWake(TimePoint now);
-	void OnWake(Duration still);
-	void FinishStopping(TimePoint now);
+	void CheckSuspension(TimePoint now);
+	void OnResumed(Duration still);
+	void AdvanceShutdown(TimePoint now);
 	bool IsReady() const;
 
 	uv_loop_s *loop;
 	NodeSettings settings;
-	std::string settings_path;                     ///< Path of the settings file.
-	WireStore store;                               ///< Client of the platform's store.
-	TableWatch configuration_watch;                ///< Follows the configuration.
-	TableWatch target_watch;                       ///< Follows the targets.
-	RouteTable routes;                             ///< Configuration in force.
-	PlaceTable places;                             ///< Halls, their regions, and which of them are evacuated.
-	std::set<std::string> emptied;                 ///< Evacuated halls, as of the last update.
-	TargetRegistry registry;                       ///< Targets as listed in the store.
-	TargetDivision division;                       ///< Which targets belong to this instance's cell.
-	uint32_t cells = 1;                            ///< Number of cells when the list of targets was last requested.
-	bool tables_begun = false;                     ///< Whether reading the tables has started.
-	std::vector<TargetRecord> records;             ///< Targets by number.
-	std::map<std::string, ListedTarget> usable;    ///< Targets in use by name.
-	std::vector<TargetNumber> polled;              ///< Targets whose reports are fetched by the instances of this hall.
-	TimePoint polled_at;                           ///< When that list was last updated.
-	std::map<std::string, std::string> unreadable; ///< Unreadable rows, with the error logged last.
-	NameTable<ModelNumber> pools;                  ///< Numbers of pools.
-	NameTable<AccountNumber> accounts;             ///< Numbers of client accounts.
-	std::set<TargetNumber> limited;                ///< Targets with a rate limit.
-	std::map<std::string, TimePoint> left_by_word; ///< Target incarnations that announced their draining, with the time of the notice.
-	CallMeter call_meter;                          ///< Recent calls by pool.
-	TimePoint started_at;                          ///< When this instance started.
+	std::string settings_path;                      ///< Path of the settings file.
+	WireStore store;                                ///< Client of the platform's store.
+	TableWatch configuration_watch;                 ///< Follows the configuration.
+	TableWatch target_watch;                        ///< Follows the targets.
+	RouteTable routes;                              ///< Configuration in force.
+	PlacementTable placement;                       ///< Halls, their regions, and which of them are evacuated.
+	std::set<std::string> evacuated;                ///< Evacuated halls, as of the last update.
+	TargetRegistry registry;                        ///< Targets as listed in the store.
+	TargetDivision division;                        ///< Which targets belong to this instance's cell.
+	uint32_t cells = 1;                             ///< Number of cells when the list of targets was last requested.
+	bool tables_begun = false;                      ///< Whether reading the tables has started.
+	std::vector<TargetRecord> records;              ///< Targets by number.
+	std::map<std::string, ListedTarget> usable;     ///< Targets in use by name.
+	std::vector<TargetNumber> polled_targets;       ///< Targets whose reports are fetched by the instances of this hall.
+	TimePoint polled_at;                            ///< When that list was last updated.
+	std::map<std::string, std::string> unreadable;  ///< Unreadable rows, with the error logged last.
+	NameTable<ModelNumber> pools;                   ///< Numbers of pools.
+	NameTable<AccountNumber> accounts;              ///< Numbers of client accounts.
+	std::set<TargetNumber> limited;                 ///< Targets with a rate limit.
+	std::map<std::string, TimePoint> drain_notices; ///< Target incarnations that announced their draining, with the time of the notice.
+	ArrivalCounter call_meter;                      ///< Recent calls by pool.
+	TimePoint started_at;                           ///< When this instance started.
 	/** Instances that share the rate limits of a hall's targets; a cache, cleared once a second. */
 	std::map<std::string, std::vector<std::string>> sharers;
-	TimePoint limits_refreshed;
-	PeerLoad peer_load;                 ///< Calls of other instances.
-	HallLoad hall_load;                 ///< Load of targets in other halls.
-	EndWatch end_watch;                 ///< Finds out which targets have crashed.
-	EndRecords ends;                    ///< Crash records in the store.
-	std::set<RequestPrint> quarantined; ///< Quarantined requests, as last logged.
-	TimePoint ends_looked;
-	PeerExchange peers;  ///< Exchange with other instances.
-	HttpFront front;     ///< Listener for callers.
-	HttpFront readiness; ///< Listener for the platform's load balancer.
-	HttpFront figures;   ///< Listener for metrics.
+	TimePoint limits_refreshed_at;
+	PeerLoad peer_load;                       ///< Calls of other instances.
+	HallLoad hall_load;                       ///< Load of targets in other halls.
+	CrashWatch crash_watch;                   ///< Finds out which targets have crashed.
+	CrashRecordStore crash_records;           ///< Crash records in the store.
+	std::set<RequestFingerprint> quarantined; ///< Quarantined requests, as last logged.
+	TimePoint crash_records_checked_at;
+	PeerExchange peers;      ///< Exchange with other instances.
+	HttpFront front;         ///< Listener for callers.
+	HttpFront readiness;     ///< Listener for the platform's load balancer.
+	HttpFront metrics_front; ///< Listener for metrics.
 	pcg64 random;
 	std::unordered_map<CallId, std::shared_ptr<RelayCall>, StrongIdHash> calls; ///< Requests not yet answered.
-	DecisionCarrier<RelayCall> carrier{this->calls};                            ///< Passes decisions to them.
+	DecisionExecutor<RelayCall> carrier{this->calls};                           ///< Passes decisions to them.
 	uint64_t next_call = 1;                                                     ///< Number of the next request.
 	bool stopping = false;                                                      ///< Whether Stop() was called.
-	TimePoint stop_begun;
-	TimePoint ticked_at; ///< Time of the last tick.
-	TimePoint next_look;
+	TimePoint stop_started;
+	TimePoint last_tick_at; ///< Time of the last tick.
+	TimePoint next_target_scan;
 	TimePoint settings_checked;
 	std::string settings_text; ///< Content of the settings file when it was last read.
-	size_t cut_calls = 0;      ///< Requests aborted by the end of the process.
+	size_t aborted_calls = 0;  ///< Requests aborted by the end of the process.
 	struct Timer;
 	std::unique_ptr<Timer> timer; ///< Timer of the ticks.
 };
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -18,64 +18,66 @@
 struct ExchangeLimits {
 	Duration heartbeat = std::chrono::milliseconds(500); ///< Shortest interval between heartbeats.
 	/** Interval between heartbeats for each live peer, which bounds the number that an instance receives. */
-	Duration heartbeat_each = std::chrono::milliseconds(40);
-	double silences = 3.6;                               ///< Missed heartbeats after which a peer is forgotten; a fraction of one is slack.
-	Duration news_wait = std::chrono::milliseconds(120); ///< Longest delay for batching updates that are not urgent.
+	Duration heartbeat_per_peer = std::chrono::milliseconds(40);
+	double missed_heartbeats = 3.6; ///< Missed heartbeats after which a peer is forgotten; a fraction of one is slack.
+	Duration max_batch_delay = std::chrono::milliseconds(120); ///< Longest delay for batching updates that are not urgent.
 	double link_mbps = 0; ///< Speed of this instance's network link, published to peers, in Mbit/s; 0 if unknown.
 	/** Interval between urgent updates for each link; with many peers, batching saves wake-ups. */
-	Duration urgent_each = std::chrono::microseconds(500);
-	bool tell_calls = true;                                     ///< Publish the calls of this instance.
-	bool tell_halls = true;                                     ///< Publish sums of the load of the hall's targets to other halls.
+	Duration urgent_interval_per_link = std::chrono::microseconds(500);
+	bool publish_calls = true;                                  ///< Publish the calls of this instance.
+	bool publish_hall_load = true;                              ///< Publish sums of the load of the hall's targets to other halls.
 	Duration hall_load_period = std::chrono::milliseconds(150); ///< Shortest interval between such messages.
 	/** Interval for each sum in such a message, which bounds the bytes sent to large systems. */
-	Duration hall_load_each = std::chrono::microseconds(2500);
+	Duration hall_load_interval_per_sum = std::chrono::microseconds(2500);
 	Duration hall_idle_period = std::chrono::seconds(1); ///< Interval between such messages if they report no load at all.
 	bool share_reports = true;                           ///< One instance fetches an engine's reports for all.
-	double pass_on_bytes = 256e3;   ///< Budget for forwarded rows, in bytes a second; beyond it, receivers read the rows themselves.
-	double hand_over_bytes = 640e3; ///< Budget for snapshots to instances that start, in bytes a second; beyond it, they turn to others.
+	double forward_bytes_per_s = 256e3; ///< Budget for forwarded rows, in bytes a second; beyond it, receivers read the rows themselves.
+	double snapshot_bytes_per_s =
+	        640e3; ///< Budget for snapshots to instances that start, in bytes a second; beyond it, they turn to others.
 	/**
 	 * Time after the start in which this instance does not read for others. Instances that start together need it to discover each other;
 	 * each would consider itself the only reader until then.
 	 */
-	Duration settle = std::chrono::milliseconds(600);
-	Duration ask_pause = std::chrono::milliseconds(400); ///< Timeout of a request for tables, after which another instance gets it.
-	Duration ask_kept = std::chrono::seconds(2);         ///< Time for which a request for tables that are not known yet is stored.
+	Duration settle_time = std::chrono::milliseconds(600);
+	Duration table_request_interval =
+	        std::chrono::milliseconds(400);               ///< Timeout of a request for tables, after which another instance gets it.
+	Duration table_request_ttl = std::chrono::seconds(2); ///< Time for which a request for tables that are not known yet is stored.
 	/** Time after the start at which tables are read even if the list of instances is unknown. */
-	Duration list_wait = std::chrono::milliseconds(300);
+	Duration list_timeout = std::chrono::milliseconds(300);
 	/** When the system is bootstrapped: time without new instances after which their list counts as complete. */
-	Duration list_quiet = std::chrono::milliseconds(1500);
-	Duration list_most = std::chrono::seconds(8);  ///< Longest wait for that.
-	Duration table_wait = std::chrono::seconds(3); ///< Time after which a table that no peer sends is read from the store.
+	Duration list_settle_time = std::chrono::milliseconds(1500);
+	Duration list_max_wait = std::chrono::seconds(8); ///< Longest wait for that.
+	Duration table_timeout = std::chrono::seconds(3); ///< Time after which a table that no peer sends is read from the store.
 	/** Additional time for each instance that precedes in the order of readers. */
-	Duration table_wait_each = std::chrono::milliseconds(250);
-	Duration readers_look = std::chrono::milliseconds(200); ///< Interval for updating which instance reads for which.
-	DialLimits dial;                                        ///< Connecting to peers.
-	bool first_start = false;                               ///< The system is bootstrapped, so no instance is listed yet.
+	Duration table_timeout_per_instance = std::chrono::milliseconds(250);
+	Duration readers_refresh_interval = std::chrono::milliseconds(200); ///< Interval for updating which instance reads for which.
+	DialLimits dial;                                                    ///< Connecting to peers.
+	bool bootstrap = false;                                             ///< The system is bootstrapped, so no instance is listed yet.
 	/** Timeout for writing this instance's row; a store that gets the rows of all instances at once needs time for them. */
-	Duration register_limit = std::chrono::seconds(4);
-	Duration register_pause = std::chrono::seconds(1); ///< Delay after a failed write of the row.
+	Duration register_timeout = std::chrono::seconds(4);
+	Duration register_retry_delay = std::chrono::seconds(1); ///< Delay after a failed write of the row.
 	/** Random delay before the row is written to a restored store or after a failure, as all instances do so. */
-	Duration register_spread = std::chrono::seconds(1);
+	Duration register_jitter = std::chrono::seconds(1);
 	/** Following the table of instances, which seldom changes. */
 	WatchLimits watch{.wait = std::chrono::seconds(10),
-	                  .patience = std::chrono::seconds(13),
-	                  .patience_most = std::chrono::seconds(15),
-	                  .gaps = true,
-	                  .pause_most = std::chrono::seconds(4)};
+	                  .takeover_delay = std::chrono::seconds(13),
+	                  .max_takeover_delay = std::chrono::seconds(15),
+	                  .allow_gaps = true,
+	                  .max_backoff = std::chrono::seconds(4)};
 };
 
 /** Where an instance that starts gets the tables from. */
-enum class TableStart : uint8_t {
-	NotYet, ///< The other instances are not known yet.
-	Read,   ///< Each instance reads the store, as there are few.
-	Ask,    ///< One instance reads the store, and the others request the tables from peers.
+enum class TableSource : uint8_t {
+	Undecided, ///< The other instances are not known yet.
+	Read,      ///< Each instance reads the store, as there are few.
+	Ask,       ///< One instance reads the store, and the others request the tables from peers.
 };
 
 /** Exchanges updates with the other instances, for one instance. */
 class PeerExchange {
 public:
 	/** Receives each report that a peer has fetched. */
-	using ReportHandler = std::function<void(const ReportNews &)>;
+	using ReportHandler = std::function<void(const ReportUpdate &)>;
 
 	PeerExchange(uv_loop_s *loop, TableStore &store, PeerLoad &load, std::string name, std::string hall, ExchangeLimits limits,
 	             ReportHandler on_report);
@@ -84,14 +86,15 @@
 	std::function<void(const HallLoadMessage &)> on_hall_load; ///< Receives the load of another hall.
 
 	/** @return All signals of targets known here; called when a link opens. */
-	std::function<std::vector<SignNews>(TimePoint)> known_signs;
-	std::function<void(const SignNews &)> on_signs; ///< Receives a signal that another instance got from a target.
+	std::function<std::vector<TargetSignalUpdate>(TimePoint)> known_signals;
+	std::function<void(const TargetSignalUpdate &)> on_signals; ///< Receives a signal that another instance got from a target.
 
-	std::function<uint32_t(const LeaseAskMessage &)> on_lease_ask; ///< @return The part of a share that is lent to another instance.
+	std::function<uint32_t(const LeaseRequestMessage &)>
+	        on_lease_request;                                      ///< @return The part of a share that is lent to another instance.
 	std::function<void(const LeaseGrantMessage &)> on_lease_grant; ///< Receives the answer to a lease request.
 
 	/** Send \a ask to \a owner if there is a link to it. */
-	void AskLease(const std::string &owner, const LeaseAskMessage &ask);
+	void RequestLease(const std::string &owner, const LeaseRequestMessage &ask);
 
 	/** Share reads of \a watch with the peers. */
 	void Share(TableWatch &watch);
@@ -106,10 +109,10 @@
 	}
 
 	/** @return Where the tables that all instances need should be read from at the start. */
-	TableStart StartOfTables(TimePoint now) const;
+	TableSource ChooseTableSource(TimePoint now) const;
 
 	/** @return Time after which a table requested from peers is read from the store; zero at the instance that reads for all. */
-	Duration WaitForTable() const;
+	Duration TableTimeout() const;
 
 	/** @return Number of cells. */
 	uint32_t Cells() const { return this->directory.Cells().cells; }
@@ -118,13 +121,13 @@
 	TableWatch &Watch() { return this->watch; }
 
 	/** The store has been restored from a backup; a snapshot of the list of instances follows. */
-	void OnOtherStore(TimePoint now);
+	void OnStoreRestored(TimePoint now);
 
-	/** Share reads of \a watch with the peers; the instance that reads \a lead for all reads it as well. */
-	void ShareWith(TableWatch &watch, TableWatch &lead);
+	/** Share reads of \a watch with the peers; the instance that reads \a lead_table for all reads it as well. */
+	void ShareWith(TableWatch &watch, TableWatch &lead_table);
 
 	/** While the store is unavailable, probe it only through \a first. */
-	void WaitForReturnAt(const TableWatch &first) { this->watch.WaitForReturnAt(first); }
+	void SetRecoveryProbe(const TableWatch &first) { this->watch.SetRecoveryProbe(first); }
 
 	/** Exchange updates only inside the local hall, or with all instances up to a limit. */
 	void SetHallOnly(bool only);
@@ -136,19 +139,19 @@
 	Result<void> Start(const Endpoint &at, TimePoint now);
 
 	/** Remove this instance's row from the store, as it stops. */
-	void Leave();
+	void Deregister();
 
 	/** Publish that a call of this instance runs at a target, or has advanced there. @param at_once Don't wait for a batch. */
-	void TellAt(const CallSpec &call, const std::string &pool, const std::string &target, uint32_t generated, bool at_once);
+	void PublishCall(const CallSpec &call, const std::string &pool, const std::string &target, uint32_t generated, bool at_once);
 
 	/** Publish that a call of this instance has ended. */
-	void TellEnded(CallId call);
+	void PublishCallEnded(CallId call);
 
 	/** Publish a report that was fetched here. */
-	void TellReport(const std::string &target, const LoadReport &report);
+	void PublishReport(const std::string &target, const LoadReport &report);
 
-	/** Publish a signal \a news that a target sent with the answer to a request of time \a asked, at the next tick. */
-	void TellSigns(SignNews news, TimePoint asked);
+	/** Publish a signal \a news that a target sent with the answer to a request of time \a tables_requests_sent, at the next tick. */
+	void PublishSignals(TargetSignalUpdate news, TimePoint tables_requests_sent);
 
 	/** Send what is due; to be called several times a second. */
 	void OnTick(TimePoint now);
@@ -178,49 +181,49 @@
 	size_t Links() const { return this->links.OpenLinks(); }
 
 private:
-	struct TablesAsk;
+	struct PendingTablesRequest;
 	void OnMessage(const PeerMessage &message, const PeerLinks::Reply &reply);
 	void Heartbeat(TimePoint now);
 	void RefreshReaders(TimePoint now);
 	void OnTables(const TablesMessage &message, TimePoint now);
-	void AskTables(TimePoint now);
-	void OnTablesAsk(const TablesAskMessage &ask, const PeerLinks::Reply &reply, TimePoint now);
-	void AnswerAsks(TimePoint now);
+	void RequestTables(TimePoint now);
+	void OnTablesRequest(const TablesRequestMessage &ask, const PeerLinks::Reply &reply, TimePoint now);
+	void AnswerTablesRequests(TimePoint now);
 	/** Answer \a ask with the requested tables that are known here, within the budget, and remove them from it. */
-	void AnswerAsk(TablesAsk &ask, TimePoint now);
+	void AnswerTablesRequest(PendingTablesRequest &ask, TimePoint now);
 	/** @return The encoded snapshot of \a table; null while the table is unknown. */
-	const std::string *WholeTable(const std::string &table);
+	const std::string *TableSnapshot(const std::string &table);
 	/** @return Whether \a message contains a snapshot of the targets. */
-	bool TellsTargets(const TablesMessage &message) const;
+	bool HasAllTargets(const TablesMessage &message) const;
 	/** Adopt the division of the targets in \a message, if it contains a snapshot of them. */
-	void NoteParts(const TablesMessage &message);
+	void AdoptParts(const TablesMessage &message);
 	/** Add the division of the targets to \a message, if it contains a snapshot of them. */
 	void AddParts(TablesMessage &message) const;
 	/** @return Names of the instances of the local hall and cell, including this one, in the order in which tables are forwarded. */
 	std::vector<std::string> HallOrder() const;
 	/** @return Addresses of connected instances from which tables can be requested. @param order Order of the hall. */
-	std::vector<std::string> Askable(const std::vector<std::string> &order) const;
+	std::vector<std::string> RequestCandidates(const std::vector<std::string> &order) const;
 	/** @return This instance and all listed ones of its cell, with the speed of their network links. */
 	std::vector<Reader> Listed() const;
 	void OnCellsChanged(TimePoint now);
-	void TellTables(TablesMessage message, const std::set<std::string> &except);
-	Duration HeartbeatPeriod() const;
-	bool MayTellAtOnce(TimePoint now) const;
+	void PublishTables(TablesMessage message, const std::set<std::string> &except);
+	Duration HeartbeatInterval() const;
+	bool MaySendNow(TimePoint now) const;
 	void OnPresence(const PresenceMessage &message, TimePoint now);
 	PresenceMessage Presence() const;
-	void TellHalls(TimePoint now);
+	void PublishHallLoad(TimePoint now);
 	void OnHallLoad(const HallLoadMessage &message);
-	void OnSigns(const SignsMessage &message);
-	void FlushSigns(TimePoint now);
+	void OnSignals(const SignalsMessage &message);
+	void FlushSignals(TimePoint now);
 	void Register(TimePoint now);
-	void OnRegistered(StoreWrite result, TimePoint now);
+	void OnRegistered(StoreWriteResult result, TimePoint now);
 	void BeginReading(TimePoint now);
 	void OnRows(const std::vector<StoredRow> &rows, bool all);
-	void ForgetPeers();
+	void ResetPeers();
 	void Dial(TimePoint now);
 	/** @return This instance and its live peers, with the speed of their network links. */
 	std::vector<Reader> Readers() const;
-	LoadMessage Whole() const;
+	LoadMessage MakeLoadSnapshot() const;
 
 	TableStore &store;
 	PeerLoad &load;       ///< Calls of the peers.
@@ -231,58 +234,58 @@
 	TableSharing sharing; ///< Tables whose reads are shared.
 	ReportHandler on_report;
 	PeerLinks links;
-	TableWatch watch;                 ///< Follows the table of instances.
-	std::string address;              ///< Address of this instance for peers.
-	PeerDirectory directory;          ///< Other instances.
-	std::set<std::string> relays;     ///< Addresses in other halls that only get updates of tables, signals and load sums.
-	uint32_t instances_told = 0;      ///< Largest number of instances known at a time, here or at a peer.
-	std::map<uint64_t, CallNews> own; ///< Own calls at targets by number.
-	LoadMessage waiting;              ///< Pending updates of calls and reports.
+	TableWatch watch;                   ///< Follows the table of instances.
+	std::string address;                ///< Address of this instance for peers.
+	PeerDirectory directory;            ///< Other instances.
+	std::set<std::string> forwarders;   ///< Addresses in other halls that only get updates of tables, signals and load sums.
+	uint32_t max_known_instances = 0;   ///< Largest number of instances known at a time, here or at a peer.
+	std::map<uint64_t, CallUpdate> own; ///< Own calls at targets by number.
+	LoadMessage waiting;                ///< Pending updates of calls and reports.
 	/** A pending signal of a target. */
-	struct WaitingSigns {
-		SignNews news;
-		TimePoint asked; ///< When the request was sent whose answer contained it.
+	struct PendingSignals {
+		TargetSignalUpdate news;
+		TimePoint tables_requests_sent; ///< When the request was sent whose answer contained it.
 	};
-	std::map<std::string, WaitingSigns> waiting_signs; ///< Pending signals by target.
+	std::map<std::string, PendingSignals> pending_signals; ///< Pending signals by target.
 	/** A stored request for tables. */
-	struct TablesAsk {
-		TablesAskMessage ask;
+	struct PendingTablesRequest {
+		TablesRequestMessage ask;
 		PeerLinks::Reply reply;
 		TimePoint until; ///< When it expires.
 	};
 	/** An encoded message with the snapshot of a table. */
-	struct WholeMessage {
+	struct EncodedSnapshot {
 		StoreVersion version; ///< Version of the table.
 		std::string bytes;
 	};
-	std::vector<TablesAsk> asks;                      ///< Stored requests for tables.
-	std::map<std::string, WholeMessage> whole_tables; ///< Latest snapshot sent of each table.
-	std::string asked_first;                          ///< Address of the first candidate that has got a request.
-	bool asks_halls = false;                          ///< Whether this instance requests tables from other halls, for its own hall.
-	TimePoint asks_at;                                ///< When stored requests are next handled.
-	TargetDivision *division = nullptr;               ///< Division of the targets among cells; null for none.
-	std::string divided_table;                        ///< Name of the table of targets.
-	TimePoint ask_at;                                 ///< When tables are next requested.
-	size_t asked = 0;                                 ///< Requests sent so far.
-	TimePoint list_changed;                           ///< When the list of instances last changed.
-	ByteBudget pass_on;                               ///< Budget for forwarded rows.
-	ByteBudget hand_over;                             ///< Budget for snapshots.
-	TimePoint waiting_since;                          ///< When the first pending update was added.
-	TimePoint flushed_at;                             ///< When updates were last sent.
-	bool urgent = false;                              ///< Whether a pending update is urgent.
-	TimePoint started;                                ///< When the exchange started.
-	TimePoint sent_at;                                ///< When the last heartbeat was sent.
-	bool tells_halls = false;                         ///< Whether this instance publishes the load of its hall to other halls.
-	TimePoint tell_halls_at;                          ///< When it does so next.
-	TimePoint told_halls_at;                          ///< When it did so last.
-	bool told_empty = false;                          ///< Whether that reported no load.
-	TimePoint readers_at;                             ///< When the readers were last updated.
-	TimePoint register_at;                            ///< When this instance's row is written next, or its write times out.
-	uint64_t registrations = 0;                       ///< Finished writes of the row.
-	bool registered = false;                          ///< Whether the row is in the store.
-	bool leaving = false;                             ///< This instance stops, so its row is not written any more.
-	bool reading = false;                             ///< Reading the table of instances has started.
-	bool list_forgotten = false;      ///< The store may have lost rows, so connected instances missing from the next snapshot are kept.
+	std::vector<PendingTablesRequest> tables_requests;        ///< Stored requests for tables.
+	std::map<std::string, EncodedSnapshot> encoded_snapshots; ///< Latest snapshot sent of each table.
+	std::string first_requested;                              ///< Address of the first candidate that has got a request.
+	bool requests_from_halls = false;                         ///< Whether this instance requests tables from other halls, for its own hall.
+	TimePoint next_answer_at;                                 ///< When stored requests are next handled.
+	TargetDivision *division = nullptr;                       ///< Division of the targets among cells; null for none.
+	std::string divided_table;                                ///< Name of the table of targets.
+	TimePoint next_tables_request_at;                         ///< When tables are next requested.
+	size_t tables_requests_sent = 0;                          ///< Requests sent so far.
+	TimePoint list_changed;                                   ///< When the list of instances last changed.
+	ByteBudget forward_budget;                                ///< Budget for forwarded rows.
+	ByteBudget snapshot_budget;                               ///< Budget for snapshots.
+	TimePoint waiting_since;                                  ///< When the first pending update was added.
+	TimePoint flushed_at;                                     ///< When updates were last sent.
+	bool urgent = false;                                      ///< Whether a pending update is urgent.
+	TimePoint started;                                        ///< When the exchange started.
+	TimePoint sent_at;                                        ///< When the last heartbeat was sent.
+	bool publishes_hall_load = false;                         ///< Whether this instance publishes the load of its hall to other halls.
+	TimePoint next_hall_load_at;                              ///< When it does so next.
+	TimePoint hall_load_sent_at;                              ///< When it did so last.
+	bool sent_empty_load = false;                             ///< Whether that reported no load.
+	TimePoint readers_at;                                     ///< When the readers were last updated.
+	TimePoint register_at;                                    ///< When this instance's row is written next, or its write times out.
+	uint64_t registrations = 0;                               ///< Finished writes of the row.
+	bool registered = false;                                  ///< Whether the row is in the store.
+	bool draining = false;                                    ///< This instance stops, so its row is not written any more.
+	bool reading = false;                                     ///< Reading the table of instances has started.
+	bool verify_list = false;         ///< The store may have lost rows, so connected instances missing from the next snapshot are kept.
 	uint64_t register_call = 0;       ///< Write of the row in progress; 0 for none.
 	std::vector<std::string> readers; ///< This instance and its live peers.
 };
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -14,9 +14,9 @@
 class Gateway;
 
 /** @return The outcome of a send that the target declares as not executed in \a info. */
-inline SendEnd NotRunEnd(const AnswerInfo &info)
+inline SendOutcome NotExecutedOutcome(const AnswerInfo &info)
 {
-	return info.signs.pause > Duration(0) ? SendEnd::TurnedAway : SendEnd::NotRun;
+	return info.signals.pause > Duration(0) ? SendOutcome::Rejected : SendOutcome::NotExecuted;
 }
 
 /** One caller's request from its arrival to its final answer. */
@@ -32,25 +32,25 @@
 	void OnSend(const SendAction &action);
 
 	/** Give the final answer after the dispatcher rejected the request. */
-	void OnGiveUp(const GiveUpAction &action);
+	void OnReject(const RejectAction &action);
 
 	/** Handle timeouts; to be called at each tick. */
 	virtual void OnTick(TimePoint now);
 
 	/** The target of the request is draining. */
-	virtual void OnTargetLeaving(TimePoint) {}
+	virtual void OnTargetDraining(TimePoint) {}
 
 	/** The target of the request has terminated, even if its connection is still open; the run has failed and may have been executed. */
-	void OnTargetEnded();
+	void OnTargetCrashed();
 
 	/** The request is quarantined: cancel the send unless its run is stable. */
 	void OnQuarantined();
 
 	/** Abort the request, as the process ends. */
-	void Cut();
+	void AbortOnStop();
 
 	/** @return Whether the final answer has been given or the caller has disconnected. */
-	bool IsOver() const { return this->over; }
+	bool IsConcluded() const { return this->concluded; }
 
 	/** @return The request as the dispatcher sees it. */
 	const CallSpec &Spec() const { return this->request.spec; }
@@ -69,16 +69,16 @@
 	virtual void OnEnd(uint64_t from, UpstreamEnd end, const char *cause) = 0;
 
 	/** @return Whether a send is in progress. */
-	virtual bool HasSend() const { return this->link != 0; }
+	virtual bool HasSend() const { return this->upstream_call != 0; }
 
 	/** @return The progress at the target. */
 	virtual RunStage Stage() const { return RunStage::Waiting; }
 
 	/** Deliver an earlier answer of a target that reports a failure, instead of a rejection. @return Whether there was one. */
-	virtual bool DeliverInstead() { return false; }
+	virtual bool DeliverKeptAnswer() { return false; }
 
 	/** Cancel all calls and copies besides the call to the target. */
-	virtual void OnGone() {}
+	virtual void CancelAuxiliaryCalls() {}
 
 	/** Start the call to \a target. @param resume Position from which a migrated run continues. */
 	uint64_t StartUpstream(TargetNumber target, std::optional<ResumePoint> resume, std::optional<TargetNumber> backup_at);
@@ -93,10 +93,10 @@
 	void Conclude(const char *outcome, int status);
 
 	/** Report the outcome of the send to the dispatcher, and execute its decisions. */
-	void EndSend(SendEnd end);
+	void FinishSend(SendOutcome end);
 
 	/** @return Whether \a head answers this request; an answer without an id is accepted only if it reports a failure. */
-	bool IsMine(const HttpHead &head) const;
+	bool AnswersThisRequest(const HttpHead &head) const;
 
 	/** @return Whether the request is quarantined. */
 	bool IsQuarantined() const;
@@ -112,19 +112,19 @@
 	RelayRequest request;
 	std::optional<TargetNumber> target; ///< Target that has the request; nothing while it waits.
 	std::optional<TargetNumber> backup; ///< Engine that keeps a copy of the run.
-	uint64_t link = 0;                  ///< Call to the target; 0 for none.
+	uint64_t upstream_call = 0;         ///< Call to the target; 0 for none.
 	uint32_t attempts = 0;              ///< Sends so far.
 	TimePoint sent_at;                  ///< Time of the last send.
-	bool doubtful = false;              ///< A send ended with an unknown outcome, so the request may have been executed.
-	bool over = false;                  ///< Final answer given, or caller disconnected.
+	bool outcome_unknown = false;       ///< A send ended with an unknown outcome, so the request may have been executed.
+	bool concluded = false;             ///< Final answer given, or caller disconnected.
 
 private:
-	void OnCallerGone();
+	void OnCallerDisconnected();
 	void LogSend(TimePoint now);
 };
 
 /** A request whose answer is buffered until it is complete. */
-class PlainRelay : public RelayCall {
+class BufferedRelay : public RelayCall {
 public:
 	using RelayCall::RelayCall;
 
@@ -132,7 +132,7 @@
 	bool OnHead(uint64_t from, const HttpHead &head) override;
 	void OnBody(uint64_t from, std::string_view bytes) override;
 	void OnEnd(uint64_t from, UpstreamEnd end, const char *cause) override;
-	bool DeliverInstead() override;
+	bool DeliverKeptAnswer() override;
 
 private:
 	/** An answer of a target. */
@@ -142,12 +142,12 @@
 		std::string body;
 	};
 
-	void OnWhole();
+	void OnCompleteAnswer();
 	void Deliver(const Answer &answer);
 
-	Answer answer;              ///< Answer being received.
-	std::optional<Answer> kept; ///< Complete answer that reports a failure, to be delivered if no other target succeeds.
-	bool passing = false;       ///< The answer exceeds the buffer and is forwarded as it arrives.
+	Answer answer;                     ///< Answer being received.
+	std::optional<Answer> kept_answer; ///< Complete answer that reports a failure, to be delivered if no other target succeeds.
+	bool forwarding = false;           ///< The answer exceeds the buffer and is forwarded as it arrives.
 };
 
 } // namespace cottonspool
--- a/src/gateway/run_stage_type.h
+++ b/src/gateway/run_stage_type.h
@@ -10,9 +10,9 @@
 
 /** Progress of a request at its target. */
 enum class RunStage : uint8_t {
-	Waiting,  ///< Not known to have started.
-	Begun,    ///< Started so recently that it may still crash the target.
-	RunsWell, ///< Running for longer than a request that crashes its target would.
+	Waiting, ///< Not known to have started.
+	Started, ///< Started so recently that it may still crash the target.
+	Stable,  ///< Running for longer than a request that crashes its target would.
 };
 
 } // namespace cottonspool
--- a/src/gateway/stream_relay.h
+++ b/src/gateway/stream_relay.h
@@ -20,81 +20,82 @@
 	using RelayCall::RelayCall;
 
 	void OnTick(TimePoint now) override;
-	void OnTargetLeaving(TimePoint now) override;
+	void OnTargetDraining(TimePoint now) override;
 
 protected:
 	bool OnHead(uint64_t from, const HttpHead &head) override;
 	void OnBody(uint64_t from, std::string_view bytes) override;
 	void OnEnd(uint64_t from, UpstreamEnd end, const char *cause) override;
-	void OnGone() override;
-	bool HasSend() const override { return this->link != 0 || this->move.resume_link != 0; }
+	void CancelAuxiliaryCalls() override;
+	bool HasSend() const override { return this->upstream_call != 0 || this->move.resume_call != 0; }
 	RunStage Stage() const override;
 
 private:
 	/** Phases of a migration to another engine. */
-	enum class MovePhase : uint8_t {
+	enum class MigrationPhase : uint8_t {
 		None,     ///< No migration in progress.
 		Copying,  ///< The KV cache is being copied.
 		Resuming, ///< The new engine was asked to resume the run.
 	};
 
 	/** A migration to another engine. */
-	struct Move {
-		MovePhase phase = MovePhase::None;
-		TargetNumber to;                    ///< New engine.
-		std::string handle;                 ///< Name of the copy at the old engine; empty while there is none.
-		uint64_t covers = 0;                ///< Events whose KV cache is in the copy.
-		std::vector<TargetNumber> refused;  ///< Engines that rejected the migration.
-		std::optional<TimePoint> turn;      ///< When the engine's network should be free for this copy; nothing before the drain notice.
+	struct Migration {
+		MigrationPhase phase = MigrationPhase::None;
+		TargetNumber to;                   ///< New engine.
+		std::string handle;                ///< Name of the copy at the old engine; empty while there is none.
+		uint64_t copied_events = 0;        ///< Events whose KV cache is in the copy.
+		std::vector<TargetNumber> refused; ///< Engines that rejected the migration.
+		std::optional<TimePoint>
+		        copy_not_before;            ///< When the engine's network should be free for this copy; nothing before the drain notice.
 		TimePoint begun;                    ///< When the copy was requested.
 		TimePoint not_before;               ///< Earliest time of the next attempt.
 		uint64_t call = 0;                  ///< Copy request in progress; 0 for none.
-		uint64_t resume_link = 0;           ///< Resume request in progress; 0 for none.
+		uint64_t resume_call = 0;           ///< Resume request in progress; 0 for none.
 		std::optional<TargetNumber> backup; ///< Engine that keeps a copy of the run after the migration.
 		uint32_t tries = 0;                 ///< Copies requested.
 		bool counted = false;               ///< Whether the copy's memory is counted at the new engine.
 	};
 
-	void PassEvents();
-	void PassEvent(const RawEvent &event, TimePoint now);
+	void ForwardEvents();
+	void ForwardEvent(const RawEvent &event, TimePoint now);
 	void Finish();
 	void StartAnswer(const HttpHead &head);
-	void RelayRefusal();
-	void TryMove(TimePoint now);
+	void ForwardErrorAnswer();
+	void TryMigrate(TimePoint now);
 	/** @return Time until the earlier copies from the same engine are almost done. */
-	Duration CopyWait() const;
-	void OnCopied(const MoveAnswer &answer);
+	Duration MigrationCopyDelay() const;
+	void OnCopied(const MigrationAnswer &answer);
 	/** @return Whether the run may resume at \a to; that engine or its hall may have become unavailable during the copy. */
 	bool MayResumeAt(TargetNumber to) const;
-	void DropCopy();
-	void EndMove();
-	void GiveUpSource();
+	void DiscardCopy();
+	void ResetMigration();
+	void CancelSource();
 	void Resume(const ResumePoint &point, TimePoint now);
 	bool ResumeFromBackup(const char *why, TimePoint now);
-	bool IsSilent(TimePoint now) const;
+	bool IsStalled(TimePoint now) const;
 	bool OnResumeHead(const HttpHead &head);
 	void OnResumeEnd(UpstreamEnd end, const char *cause);
 	void OnRunEnd(UpstreamEnd end, const char *cause);
-	void TakeOver();
-	void DropMove(const char *why, Duration pause);
-	void LoseRun(const char *cause);
-	void SetFlow();
-	void LogMove(const char *step, const char *result);
+	void SwitchToNewEngine();
+	void FailMigration(const char *why, Duration pause);
+	void FailRun(const char *cause);
+	void UpdateFlowControl();
+	void LogMigration(const char *step, const char *result);
 
 	EventSplitter splitter; ///< Splits the stream of the current engine into events.
 	HttpHead answer_head;   ///< Head of an answer that is not a stream.
 	std::string answer_body;
-	bool streaming = false;  ///< Whether the engine is sending events.
-	TimePoint streaming_at;  ///< When the stream started.
-	bool has_event = false;  ///< Whether an event was forwarded.
-	uint64_t last_event = 0; ///< Number of the last forwarded event.
-	uint64_t events = 0;     ///< Events forwarded.
-	TimePoint last_at;       ///< When the last event was forwarded.
-	Duration first_after{0}; ///< Time from the request's arrival to the first event.
-	Duration longest_gap{0}; ///< Longest pause between events.
-	bool paused = false;     ///< Reading from the engine is paused, as the caller reads slowly.
-	Move move;               ///< Migration in progress.
-	uint32_t moves = 0;      ///< Completed migrations.
+	bool streaming = false;        ///< Whether the engine is sending events.
+	TimePoint streaming_since;     ///< When the stream started.
+	bool has_event = false;        ///< Whether an event was forwarded.
+	uint64_t last_event = 0;       ///< Number of the last forwarded event.
+	uint64_t events = 0;           ///< Events forwarded.
+	TimePoint last_event_at;       ///< When the last event was forwarded.
+	Duration first_event_after{0}; ///< Time from the request's arrival to the first event.
+	Duration longest_gap{0};       ///< Longest pause between events.
+	bool paused = false;           ///< Reading from the engine is paused, as the caller reads slowly.
+	Migration move;                ///< Migration in progress.
+	uint32_t moves = 0;            ///< Completed migrations.
 };
 
 } // namespace cottonspool
--- a/src/peer/peer_links.h
+++ b/src/peer/peer_links.h
@@ -69,7 +69,7 @@
 	void SendTo(const std::string &address, const PeerMessage &message);
 
 	/** @return The state of the link to \a address. */
-	LinkState StateOf(const std::string &address) const;
+	LinkState LinkStateOf(const std::string &address) const;
 
 	/** Called with the address when a link of this instance is ready for messages. */
 	std::function<void(const std::string &)> on_link_open;
--- a/src/peer/peer_message.h
+++ b/src/peer/peer_message.h
@@ -8,7 +8,7 @@
 #include "decision/hall_load.h"
 #include "decision/membership.h"
 #include "decision/peer_directory.h"
-#include "decision/target_signs.h"
+#include "decision/target_signals.h"
 #include "store/table_store_base.h"
 #include <variant>
 
@@ -16,9 +16,9 @@
 
 /** Regular heartbeat of an instance without a gateway. */
 struct HeartbeatMessage {
-	std::vector<MemberInfo> members;    ///< The sender, then some other members it knows.
-	std::vector<LeavingTarget> leaving; ///< Draining targets that the sender knows.
-	Duration confirmed_age{0};          ///< Time since the sender last confirmed that its configuration is the newest.
+	std::vector<MemberInfo> members;      ///< The sender, then some other members it knows.
+	std::vector<DrainingTarget> draining; ///< Draining targets that the sender knows.
+	Duration confirmed_age{0};            ///< Time since the sender last confirmed that its configuration is the newest.
 	/** Peers from which the sender got heartbeats directly, each with the latest counter. */
 	std::vector<std::pair<std::string, uint64_t>> echoes;
 };
@@ -40,15 +40,15 @@
 
 /** Updates of the store's tables, or the confirmation that the sender still follows them. */
 struct TablesMessage {
-	std::string instance;          ///< Sender, or the instance that read the tables if it was forwarded.
-	std::string hall;              ///< Hall of that instance.
-	bool relayed = false;          ///< Whether it was forwarded by an instance of the receiver's hall.
-	std::vector<TableNews> tables; ///< Updates by table.
-	std::vector<PoolParts> parts;  ///< Division of the targets among cells, if the message contains a snapshot of them.
+	std::string instance;            ///< Sender, or the instance that read the tables if it was forwarded.
+	std::string hall;                ///< Hall of that instance.
+	bool forwarded = false;          ///< Whether it was forwarded by an instance of the receiver's hall.
+	std::vector<TableUpdate> tables; ///< Updates by table.
+	std::vector<PoolShards> shards;  ///< Division of the targets among cells, if the message contains a snapshot of them.
 };
 
 /** Request of an instance that has started for snapshots of tables. */
-struct TablesAskMessage {
+struct TablesRequestMessage {
 	std::string instance;            ///< Sender.
 	std::vector<std::string> tables; ///< Names of the tables.
 };
@@ -56,21 +56,21 @@
 /** Location and view of an instance, sent to each peer when a link to it opens, so that the peer knows its address. */
 struct PresenceMessage {
 	std::string instance; ///< Sender.
-	PeerPlace place;
+	PeerLocation location;
 	uint32_t instances = 0; ///< Number of instances in the store, as far as the sender knows; 0 if it has not read them.
 	CellCount cells;        ///< Number of cells into which the sender divides them.
 };
 
 /** Signals that targets have sent with their answers. */
-struct SignsMessage {
-	std::string instance;       ///< Sender, or the instance that got the signals if it was forwarded.
-	std::string hall;           ///< Hall of that instance.
-	bool relayed = false;       ///< Whether it was forwarded to the receiver's hall.
-	std::vector<SignNews> news; ///< Signals by target.
+struct SignalsMessage {
+	std::string instance;                 ///< Sender, or the instance that got the signals if it was forwarded.
+	std::string hall;                     ///< Hall of that instance.
+	bool forwarded = false;               ///< Whether it was forwarded to the receiver's hall.
+	std::vector<TargetSignalUpdate> news; ///< Signals by target.
 };
 
 /** Request for a lease of a part of the receiver's share of a target's rate limit. */
-struct LeaseAskMessage {
+struct LeaseRequestMessage {
 	std::string instance; ///< Sender.
 	std::string target;   ///< Target incarnation, by name.
 	uint64_t number = 0;  ///< Number of the request, assigned by the sender.
@@ -85,8 +85,9 @@
 	uint32_t granted = 0; ///< Requests in a window that are lent; 0 for none.
 };
 
-using PeerMessage = std::variant<HeartbeatMessage, EntriesMessage, FetchMessage, SnapshotMessage, LoadMessage, TablesMessage,
-                                 PresenceMessage, HallLoadMessage, SignsMessage, LeaseAskMessage, LeaseGrantMessage, TablesAskMessage>;
+using PeerMessage =
+        std::variant<HeartbeatMessage, EntriesMessage, FetchMessage, SnapshotMessage, LoadMessage, TablesMessage, PresenceMessage,
+                     HallLoadMessage, SignalsMessage, LeaseRequestMessage, LeaseGrantMessage, TablesRequestMessage>;
 
 /** @return \a message in CBOR, compressed if it is long. */
 std::string EncodePeerMessage(const PeerMessage &message);
