--- a/src/gateway/crash_records.h
+++ b/src/gateway/crash_records.h
@@ -17,7 +17,7 @@
 	size_t max_pending = 64;                                 ///< Limit of unwritten changes, which pile up while the store is unavailable.
 	size_t max_concurrent_writes = 4;                        ///< Concurrent writes; all instances together share the store's rate limit.
 	Duration write_timeout = std::chrono::milliseconds(500); ///< Time after which a write is cancelled and repeated.
-	Duration pause = std::chrono::milliseconds(300);         ///< Delay after a failed write.
+	Duration retry_delay = std::chrono::milliseconds(300);   ///< Delay after a failed write.
 	/** Delay after which other instances rewrite rows that a restored store lacks, if the instance in charge has not. */
 	Duration fallback_rewrite_delay = std::chrono::seconds(2);
 	Duration removed_retention = std::chrono::seconds(60); ///< Time for which removals are remembered; at least the age of a backup.
@@ -36,11 +36,11 @@
 	/** @param handler Receives changes of other instances, and own ones once the table contains them. */
 	CrashRecordStore(TableStore &store, WatchLimits watch_limits, CrashRecordLimits limits, std::string own_name, Handler handler);
 
-	/** Write \a end to the table. @return False if too many changes are pending. */
-	bool Add(const CrashRecord &end);
+	/** Write \a crash to the table. @return False if too many changes are pending. */
+	bool Add(const CrashRecord &crash);
 
-	/** Remove \a end from the table. */
-	void Remove(const CrashRecord &end);
+	/** Remove \a crash from the table. */
+	void Remove(const CrashRecord &crash);
 
 	/** The store has been restored from a backup; a snapshot of the table follows. */
 	void OnStoreRestored();
@@ -53,8 +53,8 @@
 	/** @return The follower of the table. */
 	TableWatch &Watch() { return this->watch; }
 
-	/** @return Whether \a end is in the table, or about to be written to it. */
-	bool Holds(const CrashRecord &end) const { return this->listed.contains(end) || this->IsWaiting(end); }
+	/** @return Whether \a crash is in the table, or about to be written to it. */
+	bool Holds(const CrashRecord &crash) const { return this->listed.contains(crash) || this->IsPendingAdd(crash); }
 
 	/** @return Number of changes not yet written. */
 	size_t Waiting() const { return this->changes.size(); }
@@ -68,10 +68,10 @@
 		TimePoint due;       ///< When the change is to be written, or its write times out.
 	};
 
-	bool IsWaiting(const CrashRecord &end) const;
-	void Write(const CrashRecord &end, Change &change, TimePoint now);
-	void OnWritten(const CrashRecord &end, uint64_t number, StoreWriteResult result);
-	void OnRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
+	bool IsPendingAdd(const CrashRecord &crash) const;
+	void Write(const CrashRecord &crash, Change &change, TimePoint now);
+	void OnWritten(const CrashRecord &crash, uint64_t number, StoreWriteResult result);
+	void OnRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now);
 	void RewriteMissing(const std::set<CrashRecord> &missing, TimePoint now);
 
 	TableStore &store;
@@ -87,8 +87,8 @@
 	uint64_t next_number = 1;
 };
 
-/** @return The key of the row for \a end. */
-std::string CrashKey(const CrashRecord &end);
+/** @return The key of the row for \a crash. */
+std::string CrashKey(const CrashRecord &crash);
 
 /** @return The crash that the row \a key stands for, or nothing. */
 std::optional<CrashRecord> ParseCrashKey(std::string_view key);
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -40,7 +40,7 @@
 	if (suspect) check.check.sends.push_back(std::move(send));
 	if (!added) return suspect;
 	check.check.target = target;
-	check.begun = now;
+	check.started_at = now;
 	this->SendProbe(found->first, check);
 	return suspect;
 }
@@ -49,24 +49,24 @@
 {
 	check.probes++;
 	check.token = this->next_token++;
-	auto done = [this, name, token = check.token](ProbeResult sign) { this->OnProbeResult(name, token, sign); };
+	auto done = [this, name, token = check.token](ProbeResult result) { this->OnProbeResult(name, token, result); };
 	const ProbedTarget &target = check.check.target;
 	UpstreamCall call = MakeProbeCall(target.address, target.incarnation, target.path, done);
 	// Longer than this check's own timeout, after which the target counts as unreachable rather than refusing.
-	call.connect_timeout = 2 * this->limit;
+	call.connect_timeout = 2 * this->timeout;
 	check.call = this->upstream.Start(std::move(call));
 }
 
-void CrashWatch::OnProbeResult(const std::string &name, uint64_t token, ProbeResult sign)
+void CrashWatch::OnProbeResult(const std::string &name, uint64_t token, ProbeResult result)
 {
 	auto found = this->pending.find(name);
 	if (found == this->pending.end() || found->second.token != token) return;
 	// A terminating process accepts and breaks connections until its socket is closed; the next probe is refused then.
-	if (sign == ProbeResult::Broken && found->second.probes < MAX_PROBES) {
+	if (result == ProbeResult::Broken && found->second.probes < MAX_PROBES) {
 		found->second.call = 0;
 		return;
 	}
-	found->second.check.sign = sign;
+	found->second.check.result = result;
 	this->Conclude(name, MonotonicNow());
 }
 
@@ -75,7 +75,7 @@
 	auto found = this->pending.find(incarnation);
 	if (found == this->pending.end()) return;
 	this->upstream.Cancel(found->second.call);
-	found->second.check.sign = ProbeResult::OtherIncarnation;
+	found->second.check.result = ProbeResult::OtherIncarnation;
 	this->Conclude(incarnation, now);
 }
 
@@ -83,16 +83,16 @@
 {
 	auto found = this->pending.find(name);
 	CrashCheck check = std::move(found->second.check);
-	check.took = now - found->second.begun;
+	check.took = now - found->second.started_at;
 	this->pending.erase(found);
 	if (check.HasCrashed()) this->AddCancelledSends(check);
 	// Requests that were waiting while others had started did not crash the target.
-	auto begun = [](const InterruptedSend &send) { return send.stage == RunStage::Started; };
-	bool any_begun = std::any_of(check.sends.begin(), check.sends.end(), begun);
-	auto suspect = [&](const InterruptedSend &send) { return !any_begun || begun(send); };
-	auto waited = std::stable_partition(check.sends.begin(), check.sends.end(), suspect);
-	check.cleared.assign(waited, check.sends.end());
-	check.sends.erase(waited, check.sends.end());
+	auto has_started = [](const InterruptedSend &send) { return send.stage == RunStage::Started; };
+	bool any_started = std::any_of(check.sends.begin(), check.sends.end(), has_started);
+	auto suspect = [&](const InterruptedSend &send) { return !any_started || has_started(send); };
+	auto first_waiting = std::stable_partition(check.sends.begin(), check.sends.end(), suspect);
+	check.cleared.assign(first_waiting, check.sends.end());
+	check.sends.erase(first_waiting, check.sends.end());
 	this->handler(check);
 }
 
@@ -101,7 +101,7 @@
 	std::erase_if(this->cancelled_sends, [&](const CancelledSend &each) { return now - each.at > this->cancelled_window; });
 	std::vector<std::string> late;
 	for (const auto &[name, check] : this->pending) {
-		if (now - check.begun > this->limit) late.push_back(name);
+		if (now - check.started_at > this->timeout) late.push_back(name);
 	}
 	for (const std::string &name : late) {
 		this->upstream.Cancel(this->pending.at(name).call);
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -29,13 +29,13 @@
 /** Result of checking a target that interrupted sends. */
 struct CrashCheck {
 	ProbedTarget target;
-	std::optional<ProbeResult> sign;      ///< Result of the liveness probe; nothing if it timed out.
+	std::optional<ProbeResult> result;    ///< Result of the liveness probe; nothing if it timed out.
 	std::vector<InterruptedSend> sends;   ///< Interrupted sends that may have crashed the target.
 	std::vector<InterruptedSend> cleared; ///< Interrupted sends that were still waiting when others had started, and so did not crash it.
 	Duration took{0};                     ///< Time from the first interrupted send to the result.
 
 	/** @return Whether the target has crashed; one that does not answer may just be unreachable or suspended. */
-	bool HasCrashed() const { return this->sign == ProbeResult::Refused || this->sign == ProbeResult::OtherIncarnation; }
+	bool HasCrashed() const { return this->result == ProbeResult::Refused || this->result == ProbeResult::OtherIncarnation; }
 };
 
 /** Sends a liveness probe to each target that interrupts a send, one for all its interrupted sends. */
@@ -44,8 +44,8 @@
 	using Handler = std::function<void(const CrashCheck &)>;
 
 	/** @param cancelled_window Time for which a cancelled send may still be the cause of a crash. */
-	CrashWatch(HttpUpstream &upstream, Duration limit, Duration cancelled_window, Handler handler)
-	    : upstream(upstream), limit(limit), cancelled_window(cancelled_window), handler(std::move(handler))
+	CrashWatch(HttpUpstream &upstream, Duration timeout, Duration cancelled_window, Handler handler)
+	    : upstream(upstream), timeout(timeout), cancelled_window(cancelled_window), handler(std::move(handler))
 	{
 	}
 
@@ -68,10 +68,10 @@
 	/** A check in progress. */
 	struct PendingCheck {
 		CrashCheck check;
-		TimePoint begun;     ///< Time of the first interrupted send.
-		uint64_t call = 0;   ///< Probe in progress; 0 if it is to be repeated.
-		uint32_t probes = 0; ///< Probes sent.
-		uint64_t token = 0;  ///< Distinguishes its answer from that of an earlier check of the same target.
+		TimePoint started_at; ///< Time of the first interrupted send.
+		uint64_t call = 0;    ///< Probe in progress; 0 if it is to be repeated.
+		uint32_t probes = 0;  ///< Probes sent.
+		uint64_t token = 0;   ///< Distinguishes its answer from that of an earlier check of the same target.
 	};
 
 	/** A cancelled send. */
@@ -84,11 +84,11 @@
 	bool HasCancelledSend(const std::string &incarnation) const;
 	void AddCancelledSends(CrashCheck &check);
 	void SendProbe(const std::string &name, PendingCheck &check);
-	void OnProbeResult(const std::string &name, uint64_t token, ProbeResult sign);
+	void OnProbeResult(const std::string &name, uint64_t token, ProbeResult result);
 	void Conclude(const std::string &name, TimePoint now);
 
 	HttpUpstream &upstream;
-	Duration limit;                            ///< Timeout of the probe.
+	Duration timeout;                          ///< Timeout of the probe.
 	Duration cancelled_window;                 ///< Time for which a cancelled send may be the cause of a crash.
 	std::deque<CancelledSend> cancelled_sends; ///< Recently cancelled sends, oldest first.
 	Handler handler;
--- a/src/gateway/feature_switches.cpp
+++ b/src/gateway/feature_switches.cpp
@@ -58,7 +58,8 @@
 	while (!names.empty()) {
 		std::string_view name = names.substr(0, names.find(','));
 		names.remove_prefix(std::min(names.size(), name.size() + 1));
-		auto found = std::find_if(std::begin(SWITCHES), std::end(SWITCHES), [&](const FeatureSwitch &rule) { return rule.name == name; });
+		auto found =
+		        std::find_if(std::begin(SWITCHES), std::end(SWITCHES), [&](const FeatureSwitch &feature) { return feature.name == name; });
 		if (found == std::end(SWITCHES)) {
 			return Error{Step::Settings, "--switch", "'" + std::string(name) + "' is not a known feature; --switch=help lists them"};
 		};
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -58,7 +58,7 @@
 	                    this->OnCrashRecords(added, removed, at);
                     }),
       peers(loop, this->store, this->peer_load, this->settings.name, this->settings.hall, limits.exchange,
-            [this](const ReportUpdate &news) { this->OnPeerReport(news); }),
+            [this](const ReportUpdate &update) { this->OnPeerReport(update); }),
       front(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleRequest(exchange); }),
       readiness(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleReady(exchange); }),
       metrics_front(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleMetrics(exchange); }),
@@ -298,13 +298,13 @@
 
 void Gateway::CheckSuspension(TimePoint now)
 {
-	Duration still = now - this->last_tick_at;
-	if (this->last_tick_at != TimePoint{} && still >= this->limits.suspend_threshold) this->OnTick();
+	Duration suspended_for = now - this->last_tick_at;
+	if (this->last_tick_at != TimePoint{} && suspended_for >= this->limits.suspend_threshold) this->OnTick();
 }
 
-void Gateway::OnResumed(Duration still)
+void Gateway::OnResumed(Duration suspended_for)
 {
-	Log(LogLevel::Warning, "woke", {{"still_ms", FormatMilliseconds(still)}, {"in_flight", std::to_string(this->calls.size())}});
+	Log(LogLevel::Warning, "woke", {{"still_ms", FormatMilliseconds(suspended_for)}, {"in_flight", std::to_string(this->calls.size())}});
 	// Updates of the time of suspension have not been processed yet.
 	this->configuration_watch.CatchUp();
 	this->target_watch.CatchUp();
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -43,8 +43,8 @@
 	/** Remove \a call, which has got its final answer. */
 	void OnCallFinished(CallId call);
 
-	/** Apply the load and the signals in the head of \a target's answer to \a request, which was sent at \a asked. */
-	void OnAnswerHead(const RelayRequest &request, TargetNumber target, const AnswerInfo &answer, TimePoint asked);
+	/** Apply the load and the signals in the head of \a target's answer to \a request, which was sent at \a requested_at. */
+	void OnAnswerHead(const RelayRequest &request, TargetNumber target, const AnswerInfo &answer, TimePoint requested_at);
 
 	/** Publish that a generation of this instance runs at \a target, or has advanced there. @param at_once Don't wait for a batch. */
 	void OnCallProgress(const RelayRequest &request, TargetNumber target, bool at_once);
@@ -95,7 +95,7 @@
 	void OnCrashRecords(const std::vector<CrashRecord> &added, const std::vector<CrashRecord> &removed, TimePoint now);
 	void OnQuarantineChanged(TimePoint now);
 	void ExpireCrashRecords(TimePoint now);
-	void OnPeerReport(const ReportUpdate &news);
+	void OnPeerReport(const ReportUpdate &update);
 	void LogReport(TargetNumber target, const LoadReport &report);
 	void OnHallLoad(const HallLoadMessage &message);
 	void ApplyReport(TargetNumber target, LoadReport report, Duration age);
@@ -104,14 +104,14 @@
 		Endpoint address;
 		std::string pool;
 		TargetIncarnation incarnation;
-		bool engine = false;      ///< Whether it is an engine, which has load reports.
-		uint64_t reports = 0;     ///< Reports applied so far.
-		TimePoint next_report;    ///< When to fetch the next report.
-		TimePoint idle_at;        ///< When it was last known to be idle.
-		TimePoint reported_at;    ///< When the last report arrived, fetched here or by a peer.
-		TimePoint report_timeout; ///< When the fetch in progress times out.
-		uint64_t report_call = 0; ///< Fetch in progress; 0 for none.
-		TargetSignals signals;    ///< Its signals, as last logged.
+		bool engine = false;       ///< Whether it is an engine, which has load reports.
+		uint64_t reports = 0;      ///< Reports applied so far.
+		TimePoint next_report;     ///< When to fetch the next report.
+		TimePoint idle_at;         ///< When it was last known to be idle.
+		TimePoint reported_at;     ///< When the last report arrived, fetched here or by a peer.
+		TimePoint report_deadline; ///< When the fetch in progress times out.
+		uint64_t report_call = 0;  ///< Fetch in progress; 0 for none.
+		TargetSignals signals;     ///< Its signals, as last logged.
 		TimePoint signals_logged_at;
 		bool limited_as_logged = false; ///< Whether the last logged change set a rate limit, rather than removed it.
 		TimePoint limit_logged_at;
@@ -120,10 +120,10 @@
 	void OnLoadHeader(TargetNumber target, const TargetLoad &load);
 	/** The target incarnation \a target has announced that it drains. @param source Where the notice came from, for logs. */
 	void OnTargetDrainNotice(const std::string &target, const char *source, TimePoint now);
-	/** The rate limit of \a target has changed, according to the answer to a request sent at \a asked. @param source As for logs. */
-	void OnLimitChanged(TargetNumber target, const char *source, TimePoint asked, TimePoint now);
+	/** The rate limit of \a target has changed, according to the answer to a request sent at \a requested_at. @param source As for logs. */
+	void OnLimitChanged(TargetNumber target, const char *source, TimePoint requested_at, TimePoint now);
 	/** Apply what another instance has learned from a target. */
-	void OnPeerSignals(const TargetSignalUpdate &news);
+	void OnPeerSignals(const TargetSignalUpdate &update);
 	/** @return The state of the rate limit of \a target, for the peers. */
 	TargetSignalUpdate LimitUpdateOf(TargetNumber target, TimePoint now) const;
 	/** @return All rate limits and drain notices known here, for an instance that has just connected. */
@@ -141,7 +141,7 @@
 	/** Request leases of the rate limit of \a target from its other sharers, as far as callers here need more. */
 	void RequestLeases(TargetNumber target, TimePoint now);
 	/** Answer another instance's request for a part of this one's share. @return The part granted. */
-	uint32_t OnLeaseRequest(const LeaseRequestMessage &ask);
+	uint32_t OnLeaseRequest(const LeaseRequestMessage &request);
 	void OnLeaseGrant(const LeaseGrantMessage &grant);
 	/** Recompute the shares of all rate limits, as the set of instances may have changed. */
 	void RefreshLimits(TimePoint now);
@@ -167,9 +167,9 @@
 	 * @param on_store_restored Called when the store has been restored from a backup, before the next snapshot of the table.
 	 */
 	void LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_store_restored);
-	void OnOperatorRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
+	void OnOperatorRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now);
 	void OnConfigurationRows(const std::vector<StoredRow> &rows);
-	void OnEvacuationRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
+	void OnEvacuationRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now);
 	/** Update which halls are evacuated; that also changes with time. */
 	void RefreshEvacuated(TimePoint now);
 	void OnHallReinstated(const std::string &hall, TimePoint now);
@@ -181,10 +181,10 @@
 	/** The list of instances is complete, or their division into cells has changed. */
 	void OnInstancesListed(TimePoint now);
 	/** Remove the targets of other cells from \a rows of the table of targets. */
-	void SelectTargets(std::vector<StoredRow> &rows, bool whole);
+	void SelectTargets(std::vector<StoredRow> &rows, bool is_snapshot);
 	/** @return The part of \a bound, a rate for all instances, that belongs to this cell for \a target. */
 	RateLimit CellRateLimit(TargetNumber target, RateLimit bound) const;
-	void OnTargetRows(const std::vector<StoredRow> &rows, bool all, TimePoint now);
+	void OnTargetRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now);
 	/** Count an unreadable row \a key of the table of targets, and log it once for each cause. */
 	void ReportUnreadable(const std::string &key, const Error &error);
 	void OnTargetEvents(const std::vector<TargetEvent> &events, TimePoint now);
@@ -204,7 +204,7 @@
 	void OnTick();
 	/** Detect a suspension of the process before anything is decided on outdated data. */
 	void CheckSuspension(TimePoint now);
-	void OnResumed(Duration still);
+	void OnResumed(Duration suspended_for);
 	void AdvanceShutdown(TimePoint now);
 	bool IsReady() const;
 
@@ -220,7 +220,7 @@
 	TargetRegistry registry;                        ///< Targets as listed in the store.
 	TargetDivision division;                        ///< Which targets belong to this instance's cell.
 	uint32_t cells = 1;                             ///< Number of cells when the list of targets was last requested.
-	bool tables_begun = false;                      ///< Whether reading the tables has started.
+	bool tables_started = false;                    ///< Whether reading the tables has started.
 	std::vector<TargetRecord> records;              ///< Targets by number.
 	std::map<std::string, ListedTarget> usable;     ///< Targets in use by name.
 	std::vector<TargetNumber> polled_targets;       ///< Targets whose reports are fetched by the instances of this hall.
--- a/src/gateway/gateway_crashes.cpp
+++ b/src/gateway/gateway_crashes.cpp
@@ -32,15 +32,15 @@
 {
 	TimePoint now = MonotonicNow();
 	for (const InterruptedSend &send : check.sends) {
-		CrashRecord end{send.fingerprint, check.target.incarnation.Name()};
-		bool held = check.HasCrashed() && this->crash_records.Add(end);
-		if (held) this->dispatcher.QuarantineState().Add(end, now);
-		if (!held && !this->crash_records.Holds(end)) this->dispatcher.QuarantineState().Remove(end);
+		CrashRecord crash{send.fingerprint, check.target.incarnation.Name()};
+		bool held = check.HasCrashed() && this->crash_records.Add(crash);
+		if (held) this->dispatcher.QuarantineState().Add(crash, now);
+		if (!held && !this->crash_records.Holds(crash)) this->dispatcher.QuarantineState().Remove(crash);
 		Log(LogLevel::Info, "target-check",
 		    {{"request", send.request},
 		     {"print", FormatFingerprint(send.fingerprint)},
 		     {"target", check.target.incarnation.Name()},
-		     {"sign", check.sign ? ProbeResultName(*check.sign) : "none"},
+		     {"sign", check.result ? ProbeResultName(*check.result) : "none"},
 		     {"ended", check.HasCrashed() ? "yes" : "no"},
 		     {"begun", send.stage == RunStage::Started ? "yes" : "no"},
 		     {"suspects", std::to_string(check.sends.size())},
@@ -48,16 +48,16 @@
 		     {"ms", FormatMilliseconds(check.took)}});
 	}
 	for (const InterruptedSend &send : check.cleared) {
-		CrashRecord end{send.fingerprint, check.target.incarnation.Name()};
-		if (!this->crash_records.Holds(end)) this->dispatcher.QuarantineState().Remove(end);
+		CrashRecord crash{send.fingerprint, check.target.incarnation.Name()};
+		if (!this->crash_records.Holds(crash)) this->dispatcher.QuarantineState().Remove(crash);
 	}
 	this->OnQuarantineChanged(now);
 }
 
 void Gateway::OnCrashRecords(const std::vector<CrashRecord> &added, const std::vector<CrashRecord> &removed, TimePoint now)
 {
-	for (const CrashRecord &end : removed) this->dispatcher.QuarantineState().Remove(end);
-	for (const CrashRecord &end : added) this->dispatcher.QuarantineState().Add(end, now);
+	for (const CrashRecord &crash : removed) this->dispatcher.QuarantineState().Remove(crash);
+	for (const CrashRecord &crash : added) this->dispatcher.QuarantineState().Add(crash, now);
 	this->OnQuarantineChanged(now);
 }
 
@@ -87,9 +87,9 @@
 {
 	std::vector<CrashRecord> own = this->dispatcher.QuarantineState().ClearedBySuccess(request.spec.fingerprint);
 	if (own.empty()) return;
-	for (const CrashRecord &end : own) {
-		this->dispatcher.QuarantineState().Remove(end);
-		this->crash_records.Remove(end);
+	for (const CrashRecord &crash : own) {
+		this->dispatcher.QuarantineState().Remove(crash);
+		this->crash_records.Remove(crash);
 	}
 	Log(LogLevel::Info, "suspicion-cleared",
 	    {{"request", request.info.attempt}, {"print", FormatFingerprint(request.spec.fingerprint)}, {"ends", std::to_string(own.size())}});
@@ -101,9 +101,9 @@
 	this->crash_records.OnTick(now);
 	if (now - this->crash_records_checked_at < CRASH_EXPIRY_INTERVAL || this->dispatcher.QuarantineState().IsEmpty()) return;
 	this->crash_records_checked_at = now;
-	for (const CrashRecord &end : this->dispatcher.QuarantineState().Expired(now)) {
-		this->dispatcher.QuarantineState().Remove(end);
-		if (this->peers.ReadsReportsOf(CrashKey(end))) this->crash_records.Remove(end);
+	for (const CrashRecord &crash : this->dispatcher.QuarantineState().Expired(now)) {
+		this->dispatcher.QuarantineState().Remove(crash);
+		if (this->peers.ReadsReportsOf(CrashKey(crash))) this->crash_records.Remove(crash);
 	}
 	this->OnQuarantineChanged(now);
 }
--- a/src/gateway/gateway_leases.cpp
+++ b/src/gateway/gateway_leases.cpp
@@ -67,17 +67,17 @@
 	// With more sharers than requests in a window, only some hold a share.
 	std::vector<std::string> owners = RendezvousChoice(target.name, all, in_span);
 	std::erase(owners, this->settings.name);
-	for (const LeaseRequest &ask : this->dispatcher.Targets().RequestLeases(number, owners, demand, now))
-		this->peers.RequestLease(ask.owner, {this->settings.name, target.name, ask.number, ask.wanted});
+	for (const LeaseRequest &request : this->dispatcher.Targets().RequestLeases(number, owners, demand, now))
+		this->peers.RequestLease(request.owner, {this->settings.name, target.name, request.number, request.wanted});
 }
 
-uint32_t Gateway::OnLeaseRequest(const LeaseRequestMessage &ask)
+uint32_t Gateway::OnLeaseRequest(const LeaseRequestMessage &request)
 {
 	TimePoint now = MonotonicNow();
-	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(ask.target);
+	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(request.target);
 	if (!number || number->value >= this->records.size()) return 0;
 	uint32_t own = this->call_meter.Recent(this->records[number->value].pool, now);
-	uint32_t granted = this->dispatcher.Targets().Lend(*number, ask.instance, ask.wanted, own, now);
+	uint32_t granted = this->dispatcher.Targets().Lend(*number, request.instance, request.wanted, own, now);
 	this->metrics.Count("cottonspool_lease_asks_total");
 	return granted;
 }
--- a/src/gateway/gateway_placement.cpp
+++ b/src/gateway/gateway_placement.cpp
@@ -9,16 +9,16 @@
 
 namespace cottonspool {
 
-void Gateway::OnEvacuationRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
+void Gateway::OnEvacuationRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now)
 {
 	std::set<std::string> listed;
 	for (const StoredRow &row : rows) {
 		std::optional<std::string> hall = EvacuatedHallOf(row.key);
 		if (!hall) continue;
-		if (all) listed.insert(*hall);
-		if (!all) this->placement.SetEvacuated(*hall, !row.deleted);
+		if (is_snapshot) listed.insert(*hall);
+		if (!is_snapshot) this->placement.SetEvacuated(*hall, !row.deleted);
 	}
-	if (all) this->placement.SetAllEvacuated(listed);
+	if (is_snapshot) this->placement.SetAllEvacuated(listed);
 	this->RefreshEvacuated(now);
 }
 
--- a/src/gateway/gateway_signals.cpp
+++ b/src/gateway/gateway_signals.cpp
@@ -9,15 +9,15 @@
 
 static constexpr Duration SIGNALS_LOG_INTERVAL = std::chrono::seconds(1); ///< Shortest time between log lines about one target.
 
-void Gateway::OnAnswerHead(const RelayRequest &request, TargetNumber number, const AnswerInfo &answer, TimePoint asked)
+void Gateway::OnAnswerHead(const RelayRequest &request, TargetNumber number, const AnswerInfo &answer, TimePoint requested_at)
 {
 	if (answer.load) this->OnLoadHeader(number, *answer.load);
 	TimePoint now = MonotonicNow();
 	this->LogSignals(request, number, answer.signals, now);
 	if (answer.signals.draining) this->OnTargetDrainNotice(this->records[number.value].incarnation.Name(), "answer", now);
-	bool limit_changed = this->dispatcher.Targets().OnSignals(number, answer.signals, asked, now);
-	if (limit_changed) this->OnLimitChanged(number, "answer", asked, now);
-	if (limit_changed) this->peers.PublishSignals(this->LimitUpdateOf(number, now), asked);
+	bool limit_changed = this->dispatcher.Targets().OnSignals(number, answer.signals, requested_at, now);
+	if (limit_changed) this->OnLimitChanged(number, "answer", requested_at, now);
+	if (limit_changed) this->peers.PublishSignals(this->LimitUpdateOf(number, now), requested_at);
 	if (limit_changed || answer.signals.pause > Duration(0)) this->Execute(this->dispatcher.OnPlacementChanged(now));
 }
 
@@ -34,13 +34,13 @@
 TargetSignalUpdate Gateway::LimitUpdateOf(TargetNumber number, TimePoint now) const
 {
 	const TargetState &target = this->dispatcher.Targets().Get(number);
-	TargetSignalUpdate news{.target = target.name};
-	news.limit = target.restrictions.limit.IsActive() ? SignalState::Present : SignalState::Absent;
-	news.limit_per_s = target.restrictions.limit.IsActive() ? target.restrictions.limit.Bound().per_second : 0;
+	TargetSignalUpdate update{.target = target.name};
+	update.limit = target.restrictions.limit.IsActive() ? SignalState::Present : SignalState::Absent;
+	update.limit_per_s = target.restrictions.limit.IsActive() ? target.restrictions.limit.Bound().per_second : 0;
 	/** Upper limit of the age that is sent; older values are equally outdated. */
 	static constexpr Duration OLDEST = std::chrono::minutes(10);
-	news.request_age = std::min(OLDEST, now - target.restrictions.limit.LastReportedAt());
-	return news;
+	update.request_age = std::min(OLDEST, now - target.restrictions.limit.LastReportedAt());
+	return update;
 }
 
 std::vector<TargetSignalUpdate> Gateway::KnownSignals(TimePoint now) const
@@ -51,22 +51,22 @@
 	return all;
 }
 
-void Gateway::OnPeerSignals(const TargetSignalUpdate &news)
+void Gateway::OnPeerSignals(const TargetSignalUpdate &update)
 {
 	TimePoint now = MonotonicNow();
-	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
-	if (news.draining) this->OnTargetDrainNotice(news.target, "peer", now);
-	if (!number || news.limit == SignalState::Unreadable) return;
+	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(update.target);
+	if (update.draining) this->OnTargetDrainNotice(update.target, "peer", now);
+	if (!number || update.limit == SignalState::Unreadable) return;
 	TargetSignals signals;
-	signals.limit = news.limit;
-	signals.limit_per_s = news.limit_per_s;
-	TimePoint asked = now - news.request_age;
-	if (!this->dispatcher.Targets().OnSignals(*number, signals, asked, now)) return;
-	this->OnLimitChanged(*number, "peer", asked, now);
+	signals.limit = update.limit;
+	signals.limit_per_s = update.limit_per_s;
+	TimePoint requested_at = now - update.request_age;
+	if (!this->dispatcher.Targets().OnSignals(*number, signals, requested_at, now)) return;
+	this->OnLimitChanged(*number, "peer", requested_at, now);
 	this->Execute(this->dispatcher.OnPlacementChanged(now));
 }
 
-void Gateway::OnLimitChanged(TargetNumber number, const char *source, TimePoint asked, TimePoint now)
+void Gateway::OnLimitChanged(TargetNumber number, const char *source, TimePoint requested_at, TimePoint now)
 {
 	const TargetRateLimit &limit = this->dispatcher.Targets().Get(number).restrictions.limit;
 	if (limit.IsActive()) this->limited.insert(number);
@@ -82,7 +82,7 @@
 	    {{"target", record.incarnation.Name()},
 	     {"source", source},
 	     {"per_s", limit.IsActive() ? FormatNumber(limit.Bound().per_second) : ""},
-	     {"asked_ms_ago", FormatMilliseconds(now - asked)},
+	     {"asked_ms_ago", FormatMilliseconds(now - requested_at)},
 	     {"share", std::to_string(share.max_requests)},
 	     {"window_ms", FormatMilliseconds(share.window)}});
 }
--- a/src/gateway/gateway_store.cpp
+++ b/src/gateway/gateway_store.cpp
@@ -15,7 +15,7 @@
 	this->FollowInstances();
 	TableWatch &crash_watch = this->crash_records.Watch();
 	this->LogStoreState(crash_watch, "ends", [this](TimePoint) { this->crash_records.OnStoreRestored(); });
-	this->crash_records.rewrites_first = [this](const CrashRecord &end) { return this->peers.ReadsReportsOf(CrashKey(end)); };
+	this->crash_records.rewrites_first = [this](const CrashRecord &crash) { return this->peers.ReadsReportsOf(CrashKey(crash)); };
 	this->peers.Share(this->configuration_watch);
 	this->peers.Share(this->target_watch);
 	this->peers.ShareWith(crash_watch, this->target_watch);
@@ -27,15 +27,17 @@
 
 void Gateway::StartTables(TimePoint now)
 {
-	if (this->tables_begun) return;
-	TableSource start = this->peers.ChooseTableSource(now);
-	if (start == TableSource::Undecided) return;
-	this->tables_begun = true;
+	if (this->tables_started) return;
+	TableSource source = this->peers.ChooseTableSource(now);
+	if (source == TableSource::Undecided) return;
+	this->tables_started = true;
 	this->cells = this->peers.Cells();
 	for (TableWatch *watch : {&this->configuration_watch, &this->target_watch}) {
-		Duration wait = start == TableSource::Ask ? this->peers.TableTimeout() : Duration(0);
+		Duration wait = source == TableSource::FromPeers ? this->peers.TableTimeout() : Duration(0);
 		Log(LogLevel::Info, "table-begun",
-		    {{"table", watch->Table()}, {"ask", start == TableSource::Ask ? "yes" : "no"}, {"read_in_ms", FormatMilliseconds(wait)}});
+		    {{"table", watch->Table()},
+		     {"ask", source == TableSource::FromPeers ? "yes" : "no"},
+		     {"read_in_ms", FormatMilliseconds(wait)}});
 		if (wait > Duration(0)) {
 			watch->StartFromPeers(now + wait);
 		} else {
@@ -49,31 +51,31 @@
 void Gateway::OnInstancesListed(TimePoint now)
 {
 	this->StartTables(now);
-	if (!this->tables_begun || this->cells == this->peers.Cells()) return;
+	if (!this->tables_started || this->cells == this->peers.Cells()) return;
 	this->cells = this->peers.Cells();
 	this->sharers.clear();
 	this->target_watch.RefreshSnapshot(now + this->peers.TableTimeout());
 }
 
-void Gateway::SelectTargets(std::vector<StoredRow> &rows, bool whole)
+void Gateway::SelectTargets(std::vector<StoredRow> &rows, bool is_snapshot)
 {
-	uint32_t among = this->peers.Cells();
-	if (among == 1 && this->division.Shards().empty()) return;
+	uint32_t cell_count = this->peers.Cells();
+	if (cell_count == 1 && this->division.Shards().empty()) return;
 	std::vector<TargetRow> targets;
 	for (const StoredRow &row : rows) {
 		Result<TargetRow> target = DecodeTargetRow(row);
 		targets.push_back(target ? std::move(target.value()) : TargetRow{row.key, std::nullopt});
 	}
-	if (whole) this->division.Divide(targets, among);
+	if (is_snapshot) this->division.Divide(targets, cell_count);
 	size_t kept = 0;
 	for (size_t i = 0; i < rows.size(); i++) {
 		// Removed and unreadable rows name no pool, so all cells keep them: they may belong to a known target.
 		bool own = !targets[i].target || this->division.IsOwn(*targets[i].target);
 		if (own) std::swap(rows[kept++], rows[i]);
 	}
-	if (whole)
+	if (is_snapshot)
 		Log(LogLevel::Info, "targets-divided",
-		    {{"cells", std::to_string(among)}, {"listed", std::to_string(rows.size())}, {"own", std::to_string(kept)}});
+		    {{"cells", std::to_string(cell_count)}, {"listed", std::to_string(rows.size())}, {"own", std::to_string(kept)}});
 	rows.resize(kept);
 }
 
@@ -93,7 +95,7 @@
 		log(away, at);
 		this->registry.OnStoreReconnected(at);
 	};
-	watch.filter_rows = [this](std::vector<StoredRow> &rows, bool whole) { this->SelectTargets(rows, whole); };
+	watch.filter_rows = [this](std::vector<StoredRow> &rows, bool is_snapshot) { this->SelectTargets(rows, is_snapshot); };
 	watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnTargetRows(rows, true, at); };
 	watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnTargetRows(rows, false, at); };
 }
@@ -103,8 +105,8 @@
 	this->LogStoreState(this->peers.Watch(), "instances", [this](TimePoint at) { this->peers.OnStoreRestored(at); });
 	this->peers.make_hall_load = [this](TimePoint at) { return this->hall_load.BuildMessage(at); };
 	this->peers.known_signals = [this](TimePoint at) { return this->KnownSignals(at); };
-	this->peers.on_signals = [this](const TargetSignalUpdate &news) { this->OnPeerSignals(news); };
-	this->peers.on_lease_request = [this](const LeaseRequestMessage &ask) { return this->OnLeaseRequest(ask); };
+	this->peers.on_signals = [this](const TargetSignalUpdate &update) { this->OnPeerSignals(update); };
+	this->peers.on_lease_request = [this](const LeaseRequestMessage &request) { return this->OnLeaseRequest(request); };
 	this->peers.on_lease_grant = [this](const LeaseGrantMessage &grant) { this->OnLeaseGrant(grant); };
 	this->peers.on_hall_load = [this](const HallLoadMessage &message) { this->OnHallLoad(message); };
 }
@@ -140,9 +142,9 @@
 	};
 }
 
-void Gateway::OnOperatorRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
+void Gateway::OnOperatorRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now)
 {
-	this->OnEvacuationRows(rows, all, now);
+	this->OnEvacuationRows(rows, is_snapshot, now);
 	this->OnConfigurationRows(rows);
 }
 
@@ -167,16 +169,16 @@
 	if (!this->routes.Apply(std::move(configuration))) {
 		return Log(LogLevel::Info, "configuration-older", {{"in_force", std::to_string(before)}, {"seen", std::to_string(version)}});
 	}
-	const ServingConfiguration &now_in_force = this->routes.Configuration();
-	this->front.limits.max_head_bytes = now_in_force.limits.max_head_bytes;
-	this->front.limits.max_body_bytes = now_in_force.limits.max_body_bytes;
-	this->front.limits.head_timeout = now_in_force.limits.head_timeout;
-	this->front.limits.idle_timeout = now_in_force.limits.idle_timeout;
+	const ServingConfiguration &active = this->routes.Configuration();
+	this->front.limits.max_head_bytes = active.limits.max_head_bytes;
+	this->front.limits.max_body_bytes = active.limits.max_body_bytes;
+	this->front.limits.head_timeout = active.limits.head_timeout;
+	this->front.limits.idle_timeout = active.limits.idle_timeout;
 	Log(LogLevel::Info, "configuration",
 	    {{"version", std::to_string(version)},
 	     {"before", std::to_string(before)},
-	     {"routes", std::to_string(now_in_force.routes.size())},
-	     {"accounts", std::to_string(now_in_force.accounts.size())}});
+	     {"routes", std::to_string(active.routes.size())},
+	     {"accounts", std::to_string(active.accounts.size())}});
 	this->RefreshTargets();
 	this->RefreshHalls(MonotonicNow());
 }
--- a/src/gateway/gateway_targets.cpp
+++ b/src/gateway/gateway_targets.cpp
@@ -31,7 +31,7 @@
 	for (const auto &[id, target] : this->usable) this->UseTarget(target);
 }
 
-void Gateway::OnTargetRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
+void Gateway::OnTargetRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now)
 {
 	std::vector<TargetRow> decoded;
 	for (const StoredRow &row : rows) {
@@ -45,17 +45,17 @@
 			this->ReportUnreadable(row.key, target.error());
 		}
 	}
-	this->OnTargetEvents(all ? this->registry.OnFullList(decoded, now) : this->registry.OnChanges(decoded, now), now);
+	this->OnTargetEvents(is_snapshot ? this->registry.OnFullList(decoded, now) : this->registry.OnChanges(decoded, now), now);
 }
 
 void Gateway::ReportUnreadable(const std::string &key, const Error &error)
 {
-	static constexpr size_t MAX_REMEMBERED =
-	        256; ///< Unreadable rows whose last error is remembered; errors of further ones are not logged.
+	/** Unreadable rows whose last error is remembered; errors of further ones are not logged. */
+	static constexpr size_t MAX_REMEMBERED = 256;
 	this->metrics.Count("cottonspool_unreadable_rows_total");
-	std::string &told = this->unreadable[key];
-	if (told == error.message || this->unreadable.size() > MAX_REMEMBERED) return;
-	told = error.message;
+	std::string &last_error = this->unreadable[key];
+	if (last_error == error.message || this->unreadable.size() > MAX_REMEMBERED) return;
+	last_error = error.message;
 	Log(LogLevel::Warning, "target-unreadable", {{"target", key}, {"error", FormatError(error)}});
 }
 
@@ -157,23 +157,24 @@
 {
 	bool used = !target.in_flight.empty() || target.report.running + target.report.waiting > 0;
 	return !used &&
-	       std::all_of(target.hall_loads.begin(), target.hall_loads.end(), [](const auto &told) { return told.second.held.calls == 0; });
+	       std::all_of(target.hall_loads.begin(), target.hall_loads.end(), [](const auto &load) { return load.second.held.calls == 0; });
 }
 
 void Gateway::PollReports(TimePoint now)
 {
-	static constexpr Duration LOOK = std::chrono::seconds(1); // The halls in scope also change with the set of instances.
-	if (now - this->polled_at >= LOOK) this->RefreshPolledTargets(now);
+	static constexpr Duration POLLED_REFRESH_INTERVAL =
+	        std::chrono::seconds(1); // The halls in scope also change with the set of instances.
+	if (now - this->polled_at >= POLLED_REFRESH_INTERVAL) this->RefreshPolledTargets(now);
 	// Reports of idle engines contain nothing new, unless unknown instances use the engines or only the reports show that they drain.
-	bool asks_idle = this->target_watch.IsUnavailable() || !this->peers.HearsMost();
+	bool polls_idle = this->target_watch.IsUnavailable() || !this->peers.HearsMost();
 	for (TargetNumber number : this->polled_targets) {
 		TargetRecord &record = this->records[number.value];
 		const TargetState &target = this->dispatcher.Targets().Get(number);
-		if (record.report_call != 0 && now >= record.report_timeout) {
+		if (record.report_call != 0 && now >= record.report_deadline) {
 			this->upstream.Cancel(record.report_call);
 			record.report_call = 0;
 		}
-		if (IsIdle(target) && !asks_idle) {
+		if (IsIdle(target) && !polls_idle) {
 			record.idle_at = now;
 			continue;
 		}
@@ -181,11 +182,11 @@
 		// The target asked this instance to pause; another one fetches its reports once it misses them.
 		if (now < target.restrictions.paused_until) continue;
 		// One instance fetches a target's reports for all; the others do so only if none arrive.
-		Duration patience = FromSeconds(Seconds(this->limits.report_poll_interval) * this->limits.report_takeover_periods);
-		TimePoint heard = std::max(record.reported_at, record.idle_at);
-		if (now - heard < patience && !this->peers.ReadsReportsOf(target.name)) {
+		Duration takeover_after = FromSeconds(Seconds(this->limits.report_poll_interval) * this->limits.report_takeover_periods);
+		TimePoint last_report_at = std::max(record.reported_at, record.idle_at);
+		if (now - last_report_at < takeover_after && !this->peers.ReadsReportsOf(target.name)) {
 			// The instance in charge may change, but that need not be checked at every tick.
-			record.next_report = std::min(heard + patience, now + this->limits.report_poll_interval);
+			record.next_report = std::min(last_report_at + takeover_after, now + this->limits.report_poll_interval);
 			continue;
 		}
 		this->PollReport(number, now);
@@ -204,27 +205,27 @@
 	const TargetState &target = this->dispatcher.Targets().Get(number);
 	double jitter = std::uniform_real_distribution<double>(1 - REPORT_JITTER, 1 + REPORT_JITTER)(this->random);
 	record.next_report = now + FromSeconds(Seconds(this->ReportInterval(target)) * jitter);
-	record.report_timeout = now + this->limits.report_timeout;
+	record.report_deadline = now + this->limits.report_timeout;
 	record.report_call = this->upstream.Start(MakeReportCall(
 	        record.address, target.name, [this, number](const std::optional<EngineReport> &report) { this->OnReport(number, report); }));
 }
 
-void Gateway::OnReport(TargetNumber number, const std::optional<EngineReport> &told)
+void Gateway::OnReport(TargetNumber number, const std::optional<EngineReport> &fetched)
 {
 	TargetRecord &record = this->records[number.value];
 	record.report_call = 0;
-	if (!told || told->memory_tokens == 0) return;
-	if (record.incarnation.IsOtherIncarnation(told->started_ms)) {
+	if (!fetched || fetched->memory_tokens == 0) return;
+	if (record.incarnation.IsOtherIncarnation(fetched->started_ms)) {
 		TimePoint now = MonotonicNow();
 		return this->OnTargetEvents(this->registry.OnOtherIncarnation(record.incarnation.Name(), now), now);
 	}
 	LoadReport report;
-	report.capacity_tokens = told->memory_tokens;
-	report.used_tokens = told->used_tokens;
-	report.running = told->running;
-	report.waiting = told->waiting;
-	report.waiting_tokens = told->waiting_tokens;
-	report.draining = told->draining && this->limits.use_drain_notice;
+	report.capacity_tokens = fetched->memory_tokens;
+	report.used_tokens = fetched->used_tokens;
+	report.running = fetched->running;
+	report.waiting = fetched->waiting;
+	report.waiting_tokens = fetched->waiting_tokens;
+	report.draining = fetched->draining && this->limits.use_drain_notice;
 	this->LogReport(number, report);
 	this->peers.PublishReport(this->dispatcher.Targets().Get(number).name, report);
 	// A drain notice that arrives by report leaves little time for migrations, so the peers get it immediately.
@@ -253,17 +254,17 @@
 	     {"leaving", report.draining ? "yes" : "no"}});
 }
 
-void Gateway::OnPeerReport(const ReportUpdate &news)
+void Gateway::OnPeerReport(const ReportUpdate &update)
 {
-	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
-	if (number && number->value < this->records.size()) this->ApplyReport(*number, news.report, this->limits.report_age);
+	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(update.target);
+	if (number && number->value < this->records.size()) this->ApplyReport(*number, update.report, this->limits.report_age);
 }
 
 void Gateway::OnHallLoad(const HallLoadMessage &message)
 {
-	for (const ReportUpdate &news : this->hall_load.OnMessage(message, MonotonicNow())) {
-		std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
-		if (number && number->value < this->records.size()) this->ApplyReport(*number, news.report, this->limits.hall_load_age);
+	for (const ReportUpdate &update : this->hall_load.OnMessage(message, MonotonicNow())) {
+		std::optional<TargetNumber> number = this->dispatcher.Targets().Find(update.target);
+		if (number && number->value < this->records.size()) this->ApplyReport(*number, update.report, this->limits.hall_load_age);
 	}
 }
 
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -49,8 +49,8 @@
       watch(store, INSTANCE_TABLE, limits.watch), directory(this->name, this->hall, limits.dial),
       forward_budget(limits.forward_bytes_per_s, BUDGET_BURST), snapshot_budget(limits.snapshot_bytes_per_s, BUDGET_BURST)
 {
-	this->waiting.instance = this->name;
-	this->waiting.incarnation = this->incarnation;
+	this->pending.instance = this->name;
+	this->pending.incarnation = this->incarnation;
 	this->readers.push_back(this->name);
 	this->Share(this->watch);
 }
@@ -61,16 +61,16 @@
 	to_share.on_call = [table = to_share.Table()](ReadReason reason) {
 		Log(LogLevel::Info, "store-call", {{"table", table}, {"why", ReadReasonName(reason)}});
 	};
-	to_share.on_publish = [this](const TableUpdate &news) { this->PublishTables({this->name, this->hall, false, {news}}, {}); };
+	to_share.on_publish = [this](const TableUpdate &update) { this->PublishTables({this->name, this->hall, false, {update}}, {}); };
 }
 
 void PeerExchange::ShareWith(TableWatch &watch, TableWatch &lead_table)
 {
 	watch.SetLeadTable(lead_table);
 	this->Share(watch);
-	lead_table.on_publish = [this, &watch](const TableUpdate &news) {
-		TablesMessage message{this->name, this->hall, false, {news}};
-		if (std::optional<TableUpdate> sign = watch.HeartbeatUpdate()) message.tables.push_back(std::move(*sign));
+	lead_table.on_publish = [this, &watch](const TableUpdate &update) {
+		TablesMessage message{this->name, this->hall, false, {update}};
+		if (std::optional<TableUpdate> heartbeat = watch.HeartbeatUpdate()) message.tables.push_back(std::move(*heartbeat));
 		this->PublishTables(std::move(message), {});
 	};
 }
@@ -85,18 +85,18 @@
 	if (this->on_listed) this->on_listed(now);
 }
 
-void PeerExchange::RequestLease(const std::string &owner, const LeaseRequestMessage &ask)
+void PeerExchange::RequestLease(const std::string &owner, const LeaseRequestMessage &request)
 {
-	if (const PeerLocation *location = this->directory.Find(owner)) this->links.SendTo(location->address, ask);
+	if (const PeerLocation *location = this->directory.Find(owner)) this->links.SendTo(location->address, request);
 }
 
 void PeerExchange::OnMessage(const PeerMessage &message, const PeerLinks::Reply &reply)
 {
 	TimePoint now = MonotonicNow();
-	if (auto load_news = std::get_if<LoadMessage>(&message)) {
-		if (load_news->instance == this->name) return;
-		this->load.OnMessage(*load_news, now);
-		for (const ReportUpdate &report : load_news->reports) this->on_report(report);
+	if (auto load_message = std::get_if<LoadMessage>(&message)) {
+		if (load_message->instance == this->name) return;
+		this->load.OnMessage(*load_message, now);
+		for (const ReportUpdate &report : load_message->reports) this->on_report(report);
 	}
 	if (auto presence = std::get_if<PresenceMessage>(&message)) {
 		this->OnPresence(*presence, now);
@@ -105,9 +105,10 @@
 		if (behind) reply(this->Presence());
 	}
 	if (auto tables = std::get_if<TablesMessage>(&message)) this->OnTables(*tables, now);
-	if (auto tables_ask = std::get_if<TablesRequestMessage>(&message)) this->OnTablesRequest(*tables_ask, reply, now);
-	if (auto ask = std::get_if<LeaseRequestMessage>(&message))
-		reply(LeaseGrantMessage{this->name, ask->target, ask->number, this->on_lease_request ? this->on_lease_request(*ask) : 0});
+	if (auto tables_request = std::get_if<TablesRequestMessage>(&message)) this->OnTablesRequest(*tables_request, reply, now);
+	if (auto request = std::get_if<LeaseRequestMessage>(&message))
+		reply(LeaseGrantMessage{this->name, request->target, request->number,
+		                        this->on_lease_request ? this->on_lease_request(*request) : 0});
 	if (auto grant = std::get_if<LeaseGrantMessage>(&message)) {
 		if (this->on_lease_grant) this->on_lease_grant(*grant);
 	}
@@ -124,11 +125,11 @@
 	this->links.Broadcast(forwarded, this->forwarders);
 }
 
-void PeerExchange::PublishSignals(TargetSignalUpdate news, TimePoint tables_requests_sent)
+void PeerExchange::PublishSignals(TargetSignalUpdate update, TimePoint requested_at)
 {
-	PendingSignals &waiting = this->pending_signals[news.target];
-	news.draining = news.draining || waiting.news.draining;
-	waiting = {std::move(news), tables_requests_sent};
+	PendingSignals &waiting = this->pending_signals[update.target];
+	update.draining = update.draining || waiting.update.draining;
+	waiting = {std::move(update), requested_at};
 }
 
 void PeerExchange::FlushSignals(TimePoint now)
@@ -136,8 +137,8 @@
 	if (this->pending_signals.empty()) return;
 	SignalsMessage message{this->name, this->hall, false, {}};
 	for (auto &[target, waiting] : this->pending_signals) {
-		waiting.news.request_age = now - waiting.tables_requests_sent;
-		message.news.push_back(waiting.news);
+		waiting.update.request_age = now - waiting.requested_at;
+		message.signals.push_back(waiting.update);
 	}
 	this->pending_signals.clear();
 	this->links.Broadcast(message);
@@ -146,7 +147,7 @@
 void PeerExchange::OnSignals(const SignalsMessage &message)
 {
 	if (message.instance == this->name) return;
-	for (const TargetSignalUpdate &news : message.news) this->on_signals(news);
+	for (const TargetSignalUpdate &update : message.signals) this->on_signals(update);
 	if (!this->directory.IsHallOnly() || message.forwarded) return;
 	SignalsMessage forwarded = message;
 	bool own = message.hall == this->hall;
@@ -154,7 +155,7 @@
 	forwarded.forwarded = !own;
 	if (!own) this->links.Broadcast(forwarded, this->forwarders);
 	if (own) {
-		for (const std::string &relay : this->forwarders) this->links.SendTo(relay, forwarded);
+		for (const std::string &forwarder : this->forwarders) this->links.SendTo(forwarder, forwarded);
 	}
 }
 
@@ -169,7 +170,7 @@
 	this->sent_empty_load = message.IsEmpty();
 	auto sums = static_cast<int>(message.local_targets.size() + message.remote_targets.size());
 	this->next_hall_load_at = now + std::max(this->limits.hall_load_period, this->limits.hall_load_interval_per_sum * sums);
-	for (const std::string &relay : this->forwarders) this->links.SendTo(relay, message);
+	for (const std::string &forwarder : this->forwarders) this->links.SendTo(forwarder, message);
 }
 
 Result<void> PeerExchange::Start(const Endpoint &at, TimePoint now)
@@ -186,7 +187,7 @@
 	this->links.on_link_closed = [](const std::string &to) { Log(LogLevel::Info, "peer-link-closed", {{"peer", to}}); };
 	this->watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(rows, true); };
 	this->watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(rows, false); };
-	this->started = now;
+	this->exchange_started = now;
 	// An instance that writes its row first and then reads sees all rows written before, and later instances see its own. On a restart its
 	// row may still be there, so reading first usually saves the write.
 	if (this->limits.bootstrap) {
@@ -200,7 +201,7 @@
 void PeerExchange::Register(TimePoint now)
 {
 	Log(LogLevel::Info, "store-call", {{"table", INSTANCE_TABLE}, {"why", "register"}});
-	this->register_at = now + this->limits.register_timeout;
+	this->next_register_at = now + this->limits.register_timeout;
 	PeerLocation own{this->address, this->hall, this->limits.link_mbps};
 	this->register_call = this->store.WriteRow(INSTANCE_TABLE, this->name, EncodeLocation(own), [this](StoreWriteResult result) {
 		this->register_call = 0;
@@ -211,11 +212,11 @@
 void PeerExchange::OnRegistered(StoreWriteResult result, TimePoint now)
 {
 	this->registered = result == StoreWriteResult::Done;
-	this->register_at = now + this->limits.register_retry_delay;
+	this->next_register_at = now + this->limits.register_retry_delay;
 	// Prevents all instances that a busy store rejected from retrying at the same time.
 	auto spread_ms = std::chrono::duration_cast<std::chrono::milliseconds>(this->limits.register_jitter).count();
 	uint64_t spread = HashText(this->name, ++this->registrations) % static_cast<uint64_t>(spread_ms);
-	if (!this->registered) this->register_at += std::chrono::milliseconds(spread);
+	if (!this->registered) this->next_register_at += std::chrono::milliseconds(spread);
 	if (!this->reading) return this->BeginReading(now);
 	// Other rows may have been written between reading and writing.
 	if (this->registered) this->watch.CatchUp();
@@ -229,7 +230,7 @@
 
 void PeerExchange::Deregister()
 {
-	this->draining = true;
+	this->stopping = true;
 	this->store.RemoveRow(INSTANCE_TABLE, this->name, [](StoreWriteResult) {});
 }
 
@@ -240,7 +241,7 @@
 	if (this->register_call != 0) this->store.Cancel(this->register_call);
 	this->register_call = 0;
 	auto spread_ms = std::chrono::duration_cast<std::chrono::milliseconds>(this->limits.register_jitter).count();
-	this->register_at = now + std::chrono::milliseconds(HashText(this->name, this->incarnation) % static_cast<uint64_t>(spread_ms));
+	this->next_register_at = now + std::chrono::milliseconds(HashText(this->name, this->incarnation) % static_cast<uint64_t>(spread_ms));
 }
 
 void PeerExchange::ResetPeers()
@@ -253,11 +254,11 @@
 	}
 }
 
-void PeerExchange::OnRows(const std::vector<StoredRow> &rows, bool all)
+void PeerExchange::OnRows(const std::vector<StoredRow> &rows, bool is_snapshot)
 {
 	size_t before = this->directory.Size();
-	if (all) this->ResetPeers();
-	if (all) this->registered = false;
+	if (is_snapshot) this->ResetPeers();
+	if (is_snapshot) this->registered = false;
 	for (const StoredRow &row : rows) {
 		PeerLocation location = DecodeLocation(row.value);
 		bool own = row.key == this->name;
@@ -272,14 +273,14 @@
 		}
 	}
 	TimePoint now = MonotonicNow();
-	if (this->directory.Size() != before) this->list_changed = now;
-	bool bootstrapping = this->limits.bootstrap && now - this->started < this->limits.list_max_wait;
-	bool divided = this->directory.Divide(all, this->watch.Version(), bootstrapping);
+	if (this->directory.Size() != before) this->list_changed_at = now;
+	bool bootstrapping = this->limits.bootstrap && now - this->exchange_started < this->limits.list_max_wait;
+	bool divided = this->directory.Divide(is_snapshot, this->watch.Version(), bootstrapping);
 	this->max_known_instances = std::max<uint32_t>(this->max_known_instances, static_cast<uint32_t>(this->directory.Size() + 1));
 	this->Dial(now);
 	if (divided) {
 		this->OnCellsChanged(now);
-	} else if (all && this->on_listed) {
+	} else if (is_snapshot && this->on_listed) {
 		this->on_listed(now);
 	}
 }
@@ -298,7 +299,7 @@
 	if (!divided && this->links.LinkStateOf(message.location.address) == LinkState::Open) return;
 	size_t before = this->directory.Size();
 	this->directory.OnPeerAlive(message.instance, message.location);
-	if (this->directory.Size() != before) this->list_changed = now;
+	if (this->directory.Size() != before) this->list_changed_at = now;
 	if (divided) this->OnCellsChanged(now);
 	this->Dial(now);
 }
@@ -325,13 +326,13 @@
 	return knows ? names : std::vector<std::string>{};
 }
 
-std::vector<std::string> PeerExchange::SharersOf(const std::string &of) const
+std::vector<std::string> PeerExchange::SharersOf(const std::string &target_hall) const
 {
 	std::vector<std::string> all = this->KnownInstances();
 	std::vector<std::string> there;
 	for (const std::string &instance : all) {
 		const PeerLocation *location = this->directory.Find(instance);
-		if ((instance == this->name ? this->hall : location->hall) == of) there.push_back(instance);
+		if ((instance == this->name ? this->hall : location->hall) == target_hall) there.push_back(instance);
 	}
 	return there.empty() ? all : there;
 }
@@ -358,34 +359,34 @@
 	message.instance = this->name;
 	message.incarnation = this->incarnation;
 	message.full = true;
-	for (const auto &[call, news] : this->own) message.calls.push_back(news);
+	for (const auto &[call, update] : this->own_calls) message.calls.push_back(update);
 	return message;
 }
 
 void PeerExchange::PublishCall(const CallSpec &call, const std::string &pool, const std::string &target, uint32_t generated, bool at_once)
 {
 	if (!this->limits.publish_calls) return;
-	CallUpdate &news = this->own[call.id.value];
-	news = CallUpdate{CallUpdate::Kind::At, call.id.value, target, call.prompt_tokens, generated, call.max_tokens, pool,
-	                  call.service_class};
+	CallUpdate &update = this->own_calls[call.id.value];
+	update = CallUpdate{CallUpdate::Kind::At, call.id.value, target, call.prompt_tokens, generated, call.max_tokens, pool,
+	                    call.service_class};
 	if (!at_once) return;
-	this->waiting.calls.push_back(news);
+	this->pending.calls.push_back(update);
 	this->urgent = true;
 	if (this->MaySendNow(MonotonicNow())) this->Flush();
 }
 
 void PeerExchange::PublishCallEnded(CallId call)
 {
-	if (this->own.erase(call.value) == 0) return;
-	CallUpdate news;
-	news.kind = CallUpdate::Kind::Ended;
-	news.call = call.value;
-	this->waiting.calls.push_back(std::move(news));
+	if (this->own_calls.erase(call.value) == 0) return;
+	CallUpdate update;
+	update.kind = CallUpdate::Kind::Ended;
+	update.call = call.value;
+	this->pending.calls.push_back(std::move(update));
 }
 
 void PeerExchange::PublishReport(const std::string &target, const LoadReport &report)
 {
-	this->waiting.reports.push_back({target, report});
+	this->pending.reports.push_back({target, report});
 }
 
 bool PeerExchange::MaySendNow(TimePoint now) const
@@ -396,12 +397,12 @@
 void PeerExchange::Flush()
 {
 	this->urgent = false;
-	if (this->waiting.calls.empty() && this->waiting.reports.empty()) return;
+	if (this->pending.calls.empty() && this->pending.reports.empty()) return;
 	this->flushed_at = MonotonicNow();
-	this->links.Broadcast(this->waiting, this->forwarders);
-	this->waiting.calls.clear();
-	this->waiting.reports.clear();
-	this->waiting_since = TimePoint{};
+	this->links.Broadcast(this->pending, this->forwarders);
+	this->pending.calls.clear();
+	this->pending.reports.clear();
+	this->pending_since = TimePoint{};
 }
 
 Duration PeerExchange::HeartbeatInterval() const
@@ -415,37 +416,37 @@
 	this->RequestTables(now);
 	this->AnswerTablesRequests(now);
 	this->load.OnTick(now);
-	bool may_register = !this->draining && (this->watch.IsKnown() || this->limits.bootstrap);
-	if (!this->registered && may_register && this->register_call == 0 && now >= this->register_at) this->Register(now);
-	if (this->register_call != 0 && now >= this->register_at) {
+	bool may_register = !this->stopping && (this->watch.IsKnown() || this->limits.bootstrap);
+	if (!this->registered && may_register && this->register_call == 0 && now >= this->next_register_at) this->Register(now);
+	if (this->register_call != 0 && now >= this->next_register_at) {
 		this->store.Cancel(this->register_call);
 		this->register_call = 0;
 		this->OnRegistered(StoreWriteResult::Unknown, now);
 	}
 	this->FlushSignals(now);
-	bool any = !this->waiting.calls.empty() || !this->waiting.reports.empty();
-	if (any && this->waiting_since == TimePoint{}) this->waiting_since = now;
-	bool due = (this->urgent && this->MaySendNow(now)) || now - this->waiting_since >= this->limits.max_batch_delay;
+	bool any = !this->pending.calls.empty() || !this->pending.reports.empty();
+	if (any && this->pending_since == TimePoint{}) this->pending_since = now;
+	bool due = (this->urgent && this->MaySendNow(now)) || now - this->pending_since >= this->limits.max_batch_delay;
 	if (any && due) this->Flush();
-	if (now - this->readers_at >= this->limits.readers_refresh_interval) this->RefreshReaders(now);
-	if (now - this->sent_at >= this->HeartbeatInterval()) this->Heartbeat(now);
+	if (now - this->readers_updated_at >= this->limits.readers_refresh_interval) this->RefreshReaders(now);
+	if (now - this->heartbeat_sent_at >= this->HeartbeatInterval()) this->Heartbeat(now);
 	if (this->publishes_hall_load && this->make_hall_load && now >= this->next_hall_load_at) this->PublishHallLoad(now);
 }
 
 void PeerExchange::Heartbeat(TimePoint now)
 {
-	this->sent_at = now;
+	this->heartbeat_sent_at = now;
 	this->load.SetTimeout(FromSeconds(Seconds(this->HeartbeatInterval()) * this->limits.missed_heartbeats));
 	this->links.Broadcast(this->MakeLoadSnapshot(), this->forwarders);
 }
 
 void PeerExchange::RefreshReaders(TimePoint now)
 {
-	this->readers_at = now;
+	this->readers_updated_at = now;
 	this->readers = this->load.Live();
 	this->readers.push_back(this->name);
 	std::vector<std::string> halls = this->directory.IsHallOnly() ? this->directory.Halls() : std::vector<std::string>{};
-	this->sharing.SetReaders(this->Readers(), halls, now - this->started < this->limits.settle_time);
+	this->sharing.SetReaders(this->Readers(), halls, now - this->exchange_started < this->limits.settle_time);
 	this->publishes_hall_load = this->limits.publish_hall_load && ReaderOrder(HALL_LOAD_KEY, this->Readers()).front() == this->name;
 	this->Dial(now);
 }
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -69,8 +69,8 @@
 /** Where an instance that starts gets the tables from. */
 enum class TableSource : uint8_t {
 	Undecided, ///< The other instances are not known yet.
-	Read,      ///< Each instance reads the store, as there are few.
-	Ask,       ///< One instance reads the store, and the others request the tables from peers.
+	FromStore, ///< Each instance reads the store, as there are few.
+	FromPeers, ///< One instance reads the store, and the others request the tables from peers.
 };
 
 /** Exchanges updates with the other instances, for one instance. */
@@ -93,8 +93,8 @@
 	        on_lease_request;                                      ///< @return The part of a share that is lent to another instance.
 	std::function<void(const LeaseGrantMessage &)> on_lease_grant; ///< Receives the answer to a lease request.
 
-	/** Send \a ask to \a owner if there is a link to it. */
-	void RequestLease(const std::string &owner, const LeaseRequestMessage &ask);
+	/** Send \a request to \a owner if there is a link to it. */
+	void RequestLease(const std::string &owner, const LeaseRequestMessage &request);
 
 	/** Share reads of \a watch with the peers. */
 	void Share(TableWatch &watch);
@@ -150,8 +150,8 @@
 	/** Publish a report that was fetched here. */
 	void PublishReport(const std::string &target, const LoadReport &report);
 
-	/** Publish a signal \a news that a target sent with the answer to a request of time \a tables_requests_sent, at the next tick. */
-	void PublishSignals(TargetSignalUpdate news, TimePoint tables_requests_sent);
+	/** Publish a signal \a update that a target sent with the answer to a request of time \a requested_at, at the next tick. */
+	void PublishSignals(TargetSignalUpdate update, TimePoint requested_at);
 
 	/** Send what is due; to be called several times a second. */
 	void OnTick(TimePoint now);
@@ -187,24 +187,24 @@
 	void RefreshReaders(TimePoint now);
 	void OnTables(const TablesMessage &message, TimePoint now);
 	void RequestTables(TimePoint now);
-	void OnTablesRequest(const TablesRequestMessage &ask, const PeerLinks::Reply &reply, TimePoint now);
+	void OnTablesRequest(const TablesRequestMessage &request, const PeerLinks::Reply &reply, TimePoint now);
 	void AnswerTablesRequests(TimePoint now);
-	/** Answer \a ask with the requested tables that are known here, within the budget, and remove them from it. */
-	void AnswerTablesRequest(PendingTablesRequest &ask, TimePoint now);
+	/** Answer \a request with the requested tables that are known here, within the budget, and remove them from it. */
+	void AnswerTablesRequest(PendingTablesRequest &request, TimePoint now);
 	/** @return The encoded snapshot of \a table; null while the table is unknown. */
 	const std::string *TableSnapshot(const std::string &table);
 	/** @return Whether \a message contains a snapshot of the targets. */
 	bool HasAllTargets(const TablesMessage &message) const;
 	/** Adopt the division of the targets in \a message, if it contains a snapshot of them. */
-	void AdoptParts(const TablesMessage &message);
+	void AdoptShards(const TablesMessage &message);
 	/** Add the division of the targets to \a message, if it contains a snapshot of them. */
-	void AddParts(TablesMessage &message) const;
+	void AddShards(TablesMessage &message) const;
 	/** @return Names of the instances of the local hall and cell, including this one, in the order in which tables are forwarded. */
 	std::vector<std::string> HallOrder() const;
 	/** @return Addresses of connected instances from which tables can be requested. @param order Order of the hall. */
 	std::vector<std::string> RequestCandidates(const std::vector<std::string> &order) const;
 	/** @return This instance and all listed ones of its cell, with the speed of their network links. */
-	std::vector<Reader> Listed() const;
+	std::vector<Reader> ListedInstances() const;
 	void OnCellsChanged(TimePoint now);
 	void PublishTables(TablesMessage message, const std::set<std::string> &except);
 	Duration HeartbeatInterval() const;
@@ -218,7 +218,7 @@
 	void Register(TimePoint now);
 	void OnRegistered(StoreWriteResult result, TimePoint now);
 	void BeginReading(TimePoint now);
-	void OnRows(const std::vector<StoredRow> &rows, bool all);
+	void OnRows(const std::vector<StoredRow> &rows, bool is_snapshot);
 	void ResetPeers();
 	void Dial(TimePoint now);
 	/** @return This instance and its live peers, with the speed of their network links. */
@@ -234,22 +234,22 @@
 	TableSharing sharing; ///< Tables whose reads are shared.
 	ReportHandler on_report;
 	PeerLinks links;
-	TableWatch watch;                   ///< Follows the table of instances.
-	std::string address;                ///< Address of this instance for peers.
-	PeerDirectory directory;            ///< Other instances.
-	std::set<std::string> forwarders;   ///< Addresses in other halls that only get updates of tables, signals and load sums.
-	uint32_t max_known_instances = 0;   ///< Largest number of instances known at a time, here or at a peer.
-	std::map<uint64_t, CallUpdate> own; ///< Own calls at targets by number.
-	LoadMessage waiting;                ///< Pending updates of calls and reports.
+	TableWatch watch;                         ///< Follows the table of instances.
+	std::string address;                      ///< Address of this instance for peers.
+	PeerDirectory directory;                  ///< Other instances.
+	std::set<std::string> forwarders;         ///< Addresses in other halls that only get updates of tables, signals and load sums.
+	uint32_t max_known_instances = 0;         ///< Largest number of instances known at a time, here or at a peer.
+	std::map<uint64_t, CallUpdate> own_calls; ///< Own calls at targets by number.
+	LoadMessage pending;                      ///< Pending updates of calls and reports.
 	/** A pending signal of a target. */
 	struct PendingSignals {
-		TargetSignalUpdate news;
-		TimePoint tables_requests_sent; ///< When the request was sent whose answer contained it.
+		TargetSignalUpdate update;
+		TimePoint requested_at; ///< When the request was sent whose answer contained it.
 	};
 	std::map<std::string, PendingSignals> pending_signals; ///< Pending signals by target.
 	/** A stored request for tables. */
 	struct PendingTablesRequest {
-		TablesRequestMessage ask;
+		TablesRequestMessage request;
 		PeerLinks::Reply reply;
 		TimePoint until; ///< When it expires.
 	};
@@ -267,23 +267,23 @@
 	std::string divided_table;                                ///< Name of the table of targets.
 	TimePoint next_tables_request_at;                         ///< When tables are next requested.
 	size_t tables_requests_sent = 0;                          ///< Requests sent so far.
-	TimePoint list_changed;                                   ///< When the list of instances last changed.
+	TimePoint list_changed_at;                                ///< When the list of instances last changed.
 	ByteBudget forward_budget;                                ///< Budget for forwarded rows.
 	ByteBudget snapshot_budget;                               ///< Budget for snapshots.
-	TimePoint waiting_since;                                  ///< When the first pending update was added.
+	TimePoint pending_since;                                  ///< When the first pending update was added.
 	TimePoint flushed_at;                                     ///< When updates were last sent.
 	bool urgent = false;                                      ///< Whether a pending update is urgent.
-	TimePoint started;                                        ///< When the exchange started.
-	TimePoint sent_at;                                        ///< When the last heartbeat was sent.
+	TimePoint exchange_started;                               ///< When the exchange started.
+	TimePoint heartbeat_sent_at;                              ///< When the last heartbeat was sent.
 	bool publishes_hall_load = false;                         ///< Whether this instance publishes the load of its hall to other halls.
 	TimePoint next_hall_load_at;                              ///< When it does so next.
 	TimePoint hall_load_sent_at;                              ///< When it did so last.
 	bool sent_empty_load = false;                             ///< Whether that reported no load.
-	TimePoint readers_at;                                     ///< When the readers were last updated.
-	TimePoint register_at;                                    ///< When this instance's row is written next, or its write times out.
+	TimePoint readers_updated_at;                             ///< When the readers were last updated.
+	TimePoint next_register_at;                               ///< When this instance's row is written next, or its write times out.
 	uint64_t registrations = 0;                               ///< Finished writes of the row.
 	bool registered = false;                                  ///< Whether the row is in the store.
-	bool draining = false;                                    ///< This instance stops, so its row is not written any more.
+	bool stopping = false;                                    ///< This instance stops, so its row is not written any more.
 	bool reading = false;                                     ///< Reading the table of instances has started.
 	bool verify_list = false;         ///< The store may have lost rows, so connected instances missing from the next snapshot are kept.
 	uint64_t register_call = 0;       ///< Write of the row in progress; 0 for none.
--- a/src/gateway/relay_call.cpp
+++ b/src/gateway/relay_call.cpp
@@ -160,9 +160,9 @@
 {
 	if (this->concluded || !this->target || this->upstream_call == 0) return;
 	auto keep = this->shared_from_this();
-	uint64_t ended = this->upstream_call;
-	this->gateway.upstream.Cancel(ended);
-	this->OnEnd(ended, UpstreamEnd::Broken, "the target has terminated");
+	uint64_t call = this->upstream_call;
+	this->gateway.upstream.Cancel(call);
+	this->OnEnd(call, UpstreamEnd::Broken, "the target has terminated");
 }
 
 void RelayCall::OnQuarantined()
@@ -216,15 +216,15 @@
 	this->gateway.OnCallFinished(this->request.spec.id);
 }
 
-void RelayCall::FinishSend(SendOutcome end)
+void RelayCall::FinishSend(SendOutcome outcome)
 {
 	if (!this->target) return;
-	if (end == SendOutcome::Lost || end == SendOutcome::Failed) this->outcome_unknown = true;
-	bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected || end == SendOutcome::NotSent;
-	bool ends_here = !not_executed && end != SendOutcome::Lost && end != SendOutcome::Failed;
-	if (!ends_here) this->target.reset();
-	if (!ends_here) this->gateway.OnCallUnassigned(this->request.spec.id);
-	this->gateway.Execute(this->gateway.dispatcher.OnSendEnded(this->request.spec.id, end, MonotonicNow()));
+	if (outcome == SendOutcome::Lost || outcome == SendOutcome::Failed) this->outcome_unknown = true;
+	bool not_executed = outcome == SendOutcome::NotExecuted || outcome == SendOutcome::Rejected || outcome == SendOutcome::NotSent;
+	bool is_final = !not_executed && outcome != SendOutcome::Lost && outcome != SendOutcome::Failed;
+	if (!is_final) this->target.reset();
+	if (!is_final) this->gateway.OnCallUnassigned(this->request.spec.id);
+	this->gateway.Execute(this->gateway.dispatcher.OnSendEnded(this->request.spec.id, outcome, MonotonicNow()));
 }
 
 void RelayCall::OnCallerDisconnected()
@@ -295,11 +295,11 @@
 	}
 	if (info.not_executed) return this->FinishSend(NotExecutedOutcome(info));
 	bool unusable = status / 100 == 2 && !info.stamped;
-	// Only the target's explicit signal means that the request was not executed. These statuses would promise that to the caller as well,
+	// Only the target's explicit signal means that the request was not executed. These statuses would claim that to the caller as well,
 	// so they are not forwarded without the signal.
-	bool promises = status == 503 || status == 429 || status == 408 || status == 421;
-	if (!unusable && !promises && status < 500) return this->Deliver(this->answer);
-	if (!unusable && !promises) this->kept_answer = this->answer;
+	bool claims_not_executed = status == 503 || status == 429 || status == 408 || status == 421;
+	if (!unusable && !claims_not_executed && status < 500) return this->Deliver(this->answer);
+	if (!unusable && !claims_not_executed) this->kept_answer = this->answer;
 	this->FinishSend(SendOutcome::Failed);
 	if (this->concluded || this->request.spec.repeatable) return;
 	if (!this->DeliverKeptAnswer()) this->Fail(502, "answer-unusable");
@@ -315,14 +315,14 @@
 	return true;
 }
 
-void BufferedRelay::Deliver(const Answer &whole)
+void BufferedRelay::Deliver(const Answer &complete)
 {
-	this->exchange->Respond(whole.head.status, HeadersForCaller(whole.head.headers), whole.body, whole.head.reason);
+	this->exchange->Respond(complete.head.status, HeadersForCaller(complete.head.headers), complete.body, complete.head.reason);
 	this->gateway.metrics.Observe(Measure::ServiceSeconds, this->request.account, this->request.spec.service_class,
 	                              Seconds(MonotonicNow() - this->request.spec.arrived));
 	this->FinishSend(SendOutcome::Complete);
-	if (whole.head.status / 100 == 2) this->gateway.OnAnsweredSuccessfully(this->request);
-	this->Conclude("answered", whole.head.status);
+	if (complete.head.status / 100 == 2) this->gateway.OnAnsweredSuccessfully(this->request);
+	this->Conclude("answered", complete.head.status);
 }
 
 } // namespace cottonspool
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -93,7 +93,7 @@
 	void Conclude(const char *outcome, int status);
 
 	/** Report the outcome of the send to the dispatcher, and execute its decisions. */
-	void FinishSend(SendOutcome end);
+	void FinishSend(SendOutcome outcome);
 
 	/** @return Whether \a head answers this request; an answer without an id is accepted only if it reports a failure. */
 	bool AnswersThisRequest(const HttpHead &head) const;
--- a/src/gateway/stream_relay.cpp
+++ b/src/gateway/stream_relay.cpp
@@ -11,7 +11,7 @@
 bool StreamRelay::OnHead(uint64_t from, const HttpHead &head)
 {
 	if (this->concluded) return true;
-	if (from == this->move.resume_call) return this->OnResumeHead(head);
+	if (from == this->migration.resume_call) return this->OnResumeHead(head);
 	if (from != this->upstream_call) return true;
 	if (!this->AnswersThisRequest(head)) return false;
 	AnswerInfo info = ReadAnswer(head);
@@ -89,8 +89,8 @@
 void StreamRelay::OnEnd(uint64_t from, UpstreamEnd end, const char *cause)
 {
 	auto keep = this->shared_from_this();
-	if (from == this->move.resume_call) {
-		this->move.resume_call = 0;
+	if (from == this->migration.resume_call) {
+		this->migration.resume_call = 0;
 		if (!this->concluded) this->OnResumeEnd(end, cause);
 		return;
 	}
@@ -107,7 +107,7 @@
 	this->gateway.OnSendInterrupted(this->request, *this->target, this->Stage(), MonotonicNow());
 	if (this->IsQuarantined()) return this->FailRun(cause);
 	// The run resumes from its copy, even if that is still in progress.
-	if (this->move.phase != MigrationPhase::None) return this->LogMigration("source-lost", cause);
+	if (this->migration.phase != MigrationPhase::None) return this->LogMigration("source-lost", cause);
 	if (this->ResumeFromBackup(cause, MonotonicNow())) return;
 	this->FailRun(cause);
 }
@@ -116,8 +116,8 @@
 {
 	if (!this->streaming) return RunStage::Waiting;
 	// Measured between events, as a suspended instance notices the interruption long after it.
-	bool well = this->has_event && this->last_event_at - this->streaming_since >= this->gateway.limits.crash_suspect_window;
-	return well ? RunStage::Stable : RunStage::Started;
+	bool stable = this->has_event && this->last_event_at - this->streaming_since >= this->gateway.limits.crash_suspect_window;
+	return stable ? RunStage::Stable : RunStage::Started;
 }
 
 void StreamRelay::ForwardErrorAnswer()
@@ -125,10 +125,10 @@
 	AnswerInfo info = ReadAnswer(this->answer_head);
 	int status = this->answer_head.status;
 	if (info.not_executed) return this->FinishSend(NotExecutedOutcome(info));
-	bool promises = status == 503 || status == 429 || status == 408 || status == 421;
+	bool claims_not_executed = status == 503 || status == 429 || status == 408 || status == 421;
 	this->FinishSend(SendOutcome::Failed);
 	if (this->concluded) return;
-	if (promises || status / 100 == 2) return this->Fail(502, "answer-unusable");
+	if (claims_not_executed || status / 100 == 2) return this->Fail(502, "answer-unusable");
 	this->exchange->Respond(status, HeadersForCaller(this->answer_head.headers), this->answer_body, this->answer_head.reason);
 	this->Conclude("answered", status);
 }
@@ -143,7 +143,7 @@
 	     {"events", std::to_string(this->events)},
 	     {"first_ms", FormatMilliseconds(this->first_event_after)},
 	     {"longest_gap_ms", FormatMilliseconds(this->longest_gap)},
-	     {"moves", std::to_string(this->moves)}});
+	     {"moves", std::to_string(this->migrations)}});
 	this->FinishSend(SendOutcome::Complete);
 	this->gateway.OnAnsweredSuccessfully(this->request);
 	this->Conclude("answered", 200);
@@ -155,7 +155,7 @@
 	    {{"request", this->request.info.attempt},
 	     {"target", this->target ? this->gateway.dispatcher.Targets().Get(*this->target).name : ""},
 	     {"events", std::to_string(this->events)},
-	     {"moves", std::to_string(this->moves)},
+	     {"moves", std::to_string(this->migrations)},
 	     {"copy_kept", this->backup ? "yes" : "no"},
 	     {"cause", cause}});
 	this->CancelAuxiliaryCalls();
@@ -167,29 +167,29 @@
 
 void StreamRelay::CancelAuxiliaryCalls()
 {
-	if (this->move.resume_call != 0) this->gateway.upstream.Cancel(this->move.resume_call);
-	if (this->move.call != 0) this->gateway.upstream.Cancel(this->move.call);
-	bool unused = !this->move.handle.empty() && this->target;
+	if (this->migration.resume_call != 0) this->gateway.upstream.Cancel(this->migration.resume_call);
+	if (this->migration.copy_call != 0) this->gateway.upstream.Cancel(this->migration.copy_call);
+	bool unused = !this->migration.handle.empty() && this->target;
 	if (unused) {
 		const std::string &name = this->gateway.dispatcher.Targets().Get(*this->target).name;
-		this->gateway.upstream.Start(MakeReleaseCall(this->gateway.AddressOf(*this->target), name, this->move.handle));
+		this->gateway.upstream.Start(MakeReleaseCall(this->gateway.AddressOf(*this->target), name, this->migration.handle));
 	}
 	this->ResetMigration();
 }
 
 void StreamRelay::ResetMigration()
 {
-	if (this->move.counted) this->gateway.OnCopyFinished(this->request, this->move.to);
-	this->move = Migration{};
+	if (this->migration.counted) this->gateway.OnCopyFinished(this->request, this->migration.to);
+	this->migration = Migration{};
 }
 
 void StreamRelay::OnTick(TimePoint now)
 {
 	if (this->concluded) return;
 	auto keep = this->shared_from_this();
-	if (this->move.phase == MigrationPhase::Resuming) this->CancelSource();
-	if (this->move.phase == MigrationPhase::None) this->TryMigrate(now);
-	if (this->move.phase == MigrationPhase::None && this->IsStalled(now)) this->ResumeFromBackup("silent", now);
+	if (this->migration.phase == MigrationPhase::Resuming) this->CancelSource();
+	if (this->migration.phase == MigrationPhase::None) this->TryMigrate(now);
+	if (this->migration.phase == MigrationPhase::None && this->IsStalled(now)) this->ResumeFromBackup("silent", now);
 	if (!this->concluded) RelayCall::OnTick(now);
 }
 
@@ -203,7 +203,7 @@
 	if (this->concluded || !this->target || this->upstream_call == 0 || !this->request.engines.can_migrate ||
 	    !this->gateway.limits.use_migration)
 		return;
-	if (this->move.phase != MigrationPhase::None || now < this->move.not_before) return;
+	if (this->migration.phase != MigrationPhase::None || now < this->migration.not_before) return;
 	const TargetState &source = this->gateway.dispatcher.Targets().Get(*this->target);
 	// Runs in an evacuated hall finish there; only draining engines are left, and not while they ask for a pause.
 	if (!source.restrictions.draining || now < source.restrictions.paused_until) return;
@@ -213,28 +213,28 @@
 	double interval = source.interval > 0 ? source.interval : 0.01;
 	if (this->has_event && FromSeconds(flight->second.residual * interval) < this->gateway.limits.migration_min_remaining) return;
 	if (this->ResumeFromBackup("leaving", now)) return;
-	if (!this->move.copy_not_before) this->move.copy_not_before = now + this->MigrationCopyDelay();
-	if (now < *this->move.copy_not_before) return;
-	std::optional<TargetNumber> to = this->gateway.dispatcher.ChooseMigrationTarget(this->request.spec.id, this->move.refused, now);
+	if (!this->migration.copy_not_before) this->migration.copy_not_before = now + this->MigrationCopyDelay();
+	if (now < *this->migration.copy_not_before) return;
+	std::optional<TargetNumber> to = this->gateway.dispatcher.ChooseMigrationTarget(this->request.spec.id, this->migration.refused, now);
 	if (!to) {
-		this->move.refused.clear();
-		this->move.not_before = now + this->gateway.limits.migration_retry_delay;
+		this->migration.refused.clear();
+		this->migration.not_before = now + this->gateway.limits.migration_retry_delay;
 		return this->LogMigration("no-engine", "no engine has headroom");
 	}
-	this->move.phase = MigrationPhase::Copying;
-	this->move.to = *to;
-	this->move.begun = now;
-	this->move.tries++;
-	this->move.counted = this->gateway.limits.count_pending_copies;
-	if (this->move.counted) this->gateway.OnCopyStarted(this->request, *to);
+	this->migration.phase = MigrationPhase::Copying;
+	this->migration.to = *to;
+	this->migration.started_at = now;
+	this->migration.copies_requested++;
+	this->migration.counted = this->gateway.limits.count_pending_copies;
+	if (this->migration.counted) this->gateway.OnCopyStarted(this->request, *to);
 	std::weak_ptr<RelayCall> weak = this->weak_from_this();
 	auto done = [weak](const MigrationAnswer &answer) {
 		auto self = std::static_pointer_cast<StreamRelay>(weak.lock());
 		if (!self || self->concluded) return;
-		self->move.call = 0;
+		self->migration.copy_call = 0;
 		self->OnCopied(answer);
 	};
-	this->move.call =
+	this->migration.copy_call =
 	        this->gateway.upstream.Start(MakeMigrationCall(this->gateway.AddressOf(*this->target), source.name, this->request.info.attempt,
 	                                                       this->gateway.AddressOf(*to).Text(), false, done));
 	this->LogMigration("copy", "asked");
@@ -251,23 +251,23 @@
 void StreamRelay::OnCopied(const MigrationAnswer &answer)
 {
 	auto keep = this->shared_from_this();
-	Duration pause = this->gateway.limits.migration_retry_delay;
+	Duration retry_delay = this->gateway.limits.migration_retry_delay;
 	switch (answer.kind) {
 	case MigrationAnswer::Kind::Copied:
-		this->move.handle = answer.handle;
-		this->move.copied_events = answer.events;
+		this->migration.handle = answer.handle;
+		this->migration.copied_events = answer.events;
 		this->LogMigration("copy", "done");
-		if (!this->MayResumeAt(this->move.to)) return this->DiscardCopy();
+		if (!this->MayResumeAt(this->migration.to)) return this->DiscardCopy();
 		return this->Resume({this->gateway.AddressOf(*this->target).Text(), answer.handle, this->last_event}, MonotonicNow());
 	case MigrationAnswer::Kind::NoCapacity:
-		this->move.refused.push_back(this->move.to);
+		this->migration.refused.push_back(this->migration.to);
 		return this->FailMigration("no-room", Duration(0));
 	case MigrationAnswer::Kind::NoRun:
-		return this->FailMigration("no-run-yet", pause);
+		return this->FailMigration("no-run-yet", retry_delay);
 	case MigrationAnswer::Kind::Busy:
-		return this->FailMigration("busy", pause);
+		return this->FailMigration("busy", retry_delay);
 	case MigrationAnswer::Kind::NoAnswer:
-		return this->FailMigration("no-answer", pause);
+		return this->FailMigration("no-answer", retry_delay);
 	}
 }
 
@@ -283,35 +283,35 @@
 void StreamRelay::DiscardCopy()
 {
 	const std::string &name = this->gateway.dispatcher.Targets().Get(*this->target).name;
-	this->gateway.upstream.Start(MakeReleaseCall(this->gateway.AddressOf(*this->target), name, this->move.handle));
-	this->move.refused.push_back(this->move.to);
+	this->gateway.upstream.Start(MakeReleaseCall(this->gateway.AddressOf(*this->target), name, this->migration.handle));
+	this->migration.refused.push_back(this->migration.to);
 	this->FailMigration("not-usable-any-more", Duration(0));
 }
 
-void StreamRelay::FailMigration(const char *why, Duration pause)
+void StreamRelay::FailMigration(const char *why, Duration retry_delay)
 {
 	this->LogMigration("failed", why);
-	this->move.phase = MigrationPhase::None;
-	if (this->move.counted) this->gateway.OnCopyFinished(this->request, this->move.to);
-	this->move.counted = false;
-	this->move.handle.clear();
-	this->move.not_before = MonotonicNow() + pause;
+	this->migration.phase = MigrationPhase::None;
+	if (this->migration.counted) this->gateway.OnCopyFinished(this->request, this->migration.to);
+	this->migration.counted = false;
+	this->migration.handle.clear();
+	this->migration.not_before = MonotonicNow() + retry_delay;
 	if (this->upstream_call == 0) this->FailRun(why);
 }
 
 void StreamRelay::Resume(const ResumePoint &point, TimePoint now)
 {
-	this->move.phase = MigrationPhase::Resuming;
-	this->move.backup = this->ChooseBackupFor(this->move.to, now);
-	this->gateway.dispatcher.Targets().OnRequestSent(this->move.to, now);
-	this->move.resume_call = this->StartUpstream(this->move.to, point, this->move.backup);
+	this->migration.phase = MigrationPhase::Resuming;
+	this->migration.backup = this->ChooseBackupFor(this->migration.to, now);
+	this->gateway.dispatcher.Targets().OnRequestSent(this->migration.to, now);
+	this->migration.resume_call = this->StartUpstream(this->migration.to, point, this->migration.backup);
 	this->CancelSource();
 }
 
 void StreamRelay::CancelSource()
 {
 	// The new engine regenerates the events after the copy, so any further event of the old run would only delay the new ones.
-	if (this->upstream_call == 0 || !this->gateway.upstream.IsConnected(this->move.resume_call)) return;
+	if (this->upstream_call == 0 || !this->gateway.upstream.IsConnected(this->migration.resume_call)) return;
 	this->gateway.upstream.Cancel(this->upstream_call);
 	this->upstream_call = 0;
 }
@@ -324,8 +324,8 @@
 	this->backup.reset();
 	if (!this->MayResumeAt(at)) return false;
 	this->ResetMigration();
-	this->move.to = at;
-	this->move.begun = now;
+	this->migration.to = at;
+	this->migration.started_at = now;
 	this->Resume({this->gateway.AddressOf(at).Text(), this->request.info.attempt, this->last_event}, now);
 	this->LogMigration("from-copy", why);
 	return true;
@@ -334,15 +334,15 @@
 bool StreamRelay::IsStalled(TimePoint now) const
 {
 	if (!this->backup || !this->has_event || this->paused || this->upstream_call == 0) return false;
-	Duration good = this->request.route.gap_objective;
-	return good > Duration(0) && now - this->last_event_at > FromSeconds(Seconds(good) * this->gateway.limits.silence_fraction);
+	Duration objective = this->request.route.gap_objective;
+	return objective > Duration(0) && now - this->last_event_at > FromSeconds(Seconds(objective) * this->gateway.limits.silence_fraction);
 }
 
 bool StreamRelay::OnResumeHead(const HttpHead &head)
 {
 	if (!this->AnswersThisRequest(head)) return false;
 	AnswerInfo info = ReadAnswer(head);
-	this->gateway.OnAnswerHead(this->request, this->move.to, info, this->move.begun);
+	this->gateway.OnAnswerHead(this->request, this->migration.to, info, this->migration.started_at);
 	if (head.status == 200 && info.stamped) {
 		this->SwitchToNewEngine();
 		this->StartAnswer(head);
@@ -355,16 +355,16 @@
 void StreamRelay::SwitchToNewEngine()
 {
 	if (this->upstream_call != 0) this->gateway.upstream.Cancel(this->upstream_call);
-	this->upstream_call = this->move.resume_call;
+	this->upstream_call = this->migration.resume_call;
 	this->splitter.TakeRemainder();
 	this->streaming = true;
-	this->moves++;
+	this->migrations++;
 	this->LogMigration("taken-over", "done");
 	this->gateway.metrics.Count("cottonspool_moves_total");
-	TargetNumber to = this->move.to;
+	TargetNumber to = this->migration.to;
 	this->gateway.dispatcher.OnMigrated(this->request.spec.id, to, MonotonicNow());
 	this->target = to;
-	this->backup = this->move.backup;
+	this->backup = this->migration.backup;
 	this->ResetMigration();
 	this->gateway.OnCallProgress(this->request, to, true);
 	if (this->paused) this->gateway.upstream.SetReading(this->upstream_call, false);
@@ -372,24 +372,24 @@
 
 void StreamRelay::OnResumeEnd(UpstreamEnd end, const char *cause)
 {
-	if (end == UpstreamEnd::Broken) this->gateway.OnSendInterrupted(this->request, this->move.to, RunStage::Waiting, MonotonicNow());
-	this->move.refused.push_back(this->move.to);
+	if (end == UpstreamEnd::Broken) this->gateway.OnSendInterrupted(this->request, this->migration.to, RunStage::Waiting, MonotonicNow());
+	this->migration.refused.push_back(this->migration.to);
 	this->FailMigration(cause, Duration(0));
 }
 
 void StreamRelay::LogMigration(const char *step, const char *result)
 {
 	const TargetTable &targets = this->gateway.dispatcher.Targets();
-	Duration took = this->move.begun == TimePoint{} ? Duration(0) : MonotonicNow() - this->move.begun;
+	Duration took = this->migration.started_at == TimePoint{} ? Duration(0) : MonotonicNow() - this->migration.started_at;
 	Log(LogLevel::Info, "move",
 	    {{"request", this->request.info.attempt},
 	     {"step", step},
 	     {"result", result},
 	     {"from", this->target ? targets.Get(*this->target).name : ""},
-	     {"to", this->move.phase == MigrationPhase::None ? "" : targets.Get(this->move.to).name},
+	     {"to", this->migration.phase == MigrationPhase::None ? "" : targets.Get(this->migration.to).name},
 	     {"last_event", std::to_string(this->last_event)},
-	     {"copied_event", std::to_string(this->move.copied_events)},
-	     {"try", std::to_string(this->move.tries)},
+	     {"copied_event", std::to_string(this->migration.copied_events)},
+	     {"try", std::to_string(this->migration.copies_requested)},
 	     {"ms", FormatMilliseconds(took)}});
 }
 
--- a/src/gateway/stream_relay.h
+++ b/src/gateway/stream_relay.h
@@ -27,7 +27,7 @@
 	void OnBody(uint64_t from, std::string_view bytes) override;
 	void OnEnd(uint64_t from, UpstreamEnd end, const char *cause) override;
 	void CancelAuxiliaryCalls() override;
-	bool HasSend() const override { return this->upstream_call != 0 || this->move.resume_call != 0; }
+	bool HasSend() const override { return this->upstream_call != 0 || this->migration.resume_call != 0; }
 	RunStage Stage() const override;
 
 private:
@@ -47,12 +47,12 @@
 		std::vector<TargetNumber> refused; ///< Engines that rejected the migration.
 		std::optional<TimePoint>
 		        copy_not_before;            ///< When the engine's network should be free for this copy; nothing before the drain notice.
-		TimePoint begun;                    ///< When the copy was requested.
+		TimePoint started_at;               ///< When the copy was requested.
 		TimePoint not_before;               ///< Earliest time of the next attempt.
-		uint64_t call = 0;                  ///< Copy request in progress; 0 for none.
+		uint64_t copy_call = 0;             ///< Copy request in progress; 0 for none.
 		uint64_t resume_call = 0;           ///< Resume request in progress; 0 for none.
 		std::optional<TargetNumber> backup; ///< Engine that keeps a copy of the run after the migration.
-		uint32_t tries = 0;                 ///< Copies requested.
+		uint32_t copies_requested = 0;      ///< Copies requested.
 		bool counted = false;               ///< Whether the copy's memory is counted at the new engine.
 	};
 
@@ -77,7 +77,7 @@
 	void OnResumeEnd(UpstreamEnd end, const char *cause);
 	void OnRunEnd(UpstreamEnd end, const char *cause);
 	void SwitchToNewEngine();
-	void FailMigration(const char *why, Duration pause);
+	void FailMigration(const char *why, Duration retry_delay);
 	void FailRun(const char *cause);
 	void UpdateFlowControl();
 	void LogMigration(const char *step, const char *result);
@@ -94,8 +94,8 @@
 	Duration first_event_after{0}; ///< Time from the request's arrival to the first event.
 	Duration longest_gap{0};       ///< Longest pause between events.
 	bool paused = false;           ///< Reading from the engine is paused, as the caller reads slowly.
-	Migration move;                ///< Migration in progress.
-	uint32_t moves = 0;            ///< Completed migrations.
+	Migration migration;           ///< Migration in progress.
+	uint32_t migrations = 0;       ///< Completed migrations.
 };
 
 } // namespace cottonspool
--- a/src/peer/compressed_message.cpp
+++ b/src/peer/compressed_message.cpp
@@ -34,16 +34,17 @@
 Result<std::string> DecompressMessage(const std::string &bytes)
 {
 	if (!IsCompressed(bytes)) return Error{Step::Peer, "message", "not a compressed message"};
-	size_t told = 0;
-	for (size_t i = 1; i < HEADER_BYTES; i++) told = told << 8 | static_cast<unsigned char>(bytes[i]);
+	size_t declared = 0;
+	for (size_t i = 1; i < HEADER_BYTES; i++) declared = declared << 8 | static_cast<unsigned char>(bytes[i]);
 	// zlib expands data by at most this factor; rejects false lengths before memory is allocated.
 	static constexpr size_t MAX_EXPANSION = 1032;
-	if (told > MAX_MESSAGE_BYTES || told > MAX_EXPANSION * bytes.size()) return Error{Step::Peer, "message", "length exceeds the limit"};
-	std::string message(told, '\0');
-	uLongf length = told;
+	if (declared > MAX_MESSAGE_BYTES || declared > MAX_EXPANSION * bytes.size())
+		return Error{Step::Peer, "message", "length exceeds the limit"};
+	std::string message(declared, '\0');
+	uLongf length = declared;
 	const auto *from = reinterpret_cast<const Bytef *>(bytes.data() + HEADER_BYTES);
 	int result = uncompress(reinterpret_cast<Bytef *>(message.data()), &length, from, bytes.size() - HEADER_BYTES);
-	if (result != Z_OK || length != told) return Error{Step::Peer, "message", "corrupt compressed data"};
+	if (result != Z_OK || length != declared) return Error{Step::Peer, "message", "corrupt compressed data"};
 	return message;
 }
 
--- a/src/peer/peer_message.cpp
+++ b/src/peer/peer_message.cpp
@@ -84,14 +84,14 @@
 static Json Write(const LoadMessage &message)
 {
 	Json calls = Json::array();
-	for (const CallUpdate &news : message.calls) {
-		calls.push_back(Json::array({static_cast<int>(news.kind), news.call, news.target, news.prompt_tokens, news.generated,
-		                             news.max_tokens, news.pool, static_cast<int>(news.service_class)}));
+	for (const CallUpdate &update : message.calls) {
+		calls.push_back(Json::array({static_cast<int>(update.kind), update.call, update.target, update.prompt_tokens, update.generated,
+		                             update.max_tokens, update.pool, static_cast<int>(update.service_class)}));
 	}
 	Json reports = Json::array();
-	for (const ReportUpdate &news : message.reports) {
-		reports.push_back(Json::array({news.target, news.report.capacity_tokens, news.report.used_tokens, news.report.running,
-		                               news.report.waiting, news.report.waiting_tokens, news.report.draining}));
+	for (const ReportUpdate &update : message.reports) {
+		reports.push_back(Json::array({update.target, update.report.capacity_tokens, update.report.used_tokens, update.report.running,
+		                               update.report.waiting, update.report.waiting_tokens, update.report.draining}));
 	}
 	return Json::array({LOAD, message.instance, message.incarnation, message.full, calls, reports});
 }
@@ -99,12 +99,12 @@
 static Json Write(const TablesMessage &message)
 {
 	Json tables = Json::array();
-	for (const TableUpdate &news : message.tables) {
+	for (const TableUpdate &update : message.tables) {
 		Json rows = Json::array();
-		for (const StoredRow &row : news.rows)
+		for (const StoredRow &row : update.rows)
 			rows.push_back(Json::array({row.key, Json::binary({row.value.begin(), row.value.end()}), row.version, row.deleted}));
-		tables.push_back(Json::array({news.table, news.from.number, news.to.number, news.full, news.healthy, rows, news.from.epoch,
-		                              news.to.epoch, news.read.number}));
+		tables.push_back(Json::array({update.table, update.from.number, update.to.number, update.full, update.healthy, rows,
+		                              update.from.epoch, update.to.epoch, update.read.number}));
 	}
 	Json shards = Json::array();
 	for (const PoolShards &each : message.shards) shards.push_back(Json::array({each.pool, each.hall, each.shards}));
@@ -142,14 +142,14 @@
 
 static Json Write(const SignalsMessage &message)
 {
-	Json news = Json::array();
-	for (const TargetSignalUpdate &each : message.news) {
-		bool told = each.limit != SignalState::Unreadable;
-		news.push_back(
-		        Json::array({each.target, each.draining, told, each.limit == SignalState::Present ? Json(each.limit_per_s) : Json(nullptr),
-		                     each.request_age.count()}));
+	Json signals = Json::array();
+	for (const TargetSignalUpdate &each : message.signals) {
+		bool limit_readable = each.limit != SignalState::Unreadable;
+		signals.push_back(
+		        Json::array({each.target, each.draining, limit_readable,
+		                     each.limit == SignalState::Present ? Json(each.limit_per_s) : Json(nullptr), each.request_age.count()}));
 	}
-	return Json::array({SIGNALS, message.instance, message.hall, message.forwarded, news});
+	return Json::array({SIGNALS, message.instance, message.hall, message.forwarded, signals});
 }
 
 static Json Write(const LeaseRequestMessage &message)
@@ -165,18 +165,18 @@
 /** @return The signal in \a item; throws if it is malformed. */
 static TargetSignalUpdate ReadSignalUpdate(const Json &item)
 {
-	TargetSignalUpdate news;
-	news.target = item.at(0).get<std::string>();
-	news.draining = item.at(1).get<bool>();
-	bool told = item.at(2).get<bool>();
+	TargetSignalUpdate update;
+	update.target = item.at(0).get<std::string>();
+	update.draining = item.at(1).get<bool>();
+	bool limit_readable = item.at(2).get<bool>();
 	const Json &limit = item.at(3);
-	if (told) news.limit = limit.is_null() ? SignalState::Absent : SignalState::Present;
-	if (news.limit == SignalState::Present) news.limit_per_s = limit.get<double>();
-	if (!(news.limit_per_s >= 0 && news.limit_per_s < std::numeric_limits<double>::infinity()))
+	if (limit_readable) update.limit = limit.is_null() ? SignalState::Absent : SignalState::Present;
+	if (update.limit == SignalState::Present) update.limit_per_s = limit.get<double>();
+	if (!(update.limit_per_s >= 0 && update.limit_per_s < std::numeric_limits<double>::infinity()))
 		throw std::out_of_range("rate limit out of range");
-	news.request_age = Duration(ReadInteger<int64_t>(item.at(4)));
-	if (news.request_age < Duration(0) || news.request_age > std::chrono::hours(1)) throw std::out_of_range("age out of range");
-	return news;
+	update.request_age = Duration(ReadInteger<int64_t>(item.at(4)));
+	if (update.request_age < Duration(0) || update.request_age > std::chrono::hours(1)) throw std::out_of_range("age out of range");
+	return update;
 }
 
 /** @return The sums in \a flat; throws if they are malformed. */
@@ -193,52 +193,52 @@
 /** @return The update of a table in \a item; throws if it is malformed. */
 static TableUpdate ReadTableUpdate(const Json &item)
 {
-	TableUpdate news;
-	news.table = item.at(0).get<std::string>();
+	TableUpdate update;
+	update.table = item.at(0).get<std::string>();
 	// Instances of older releases send no epochs.
-	bool with_eras = item.size() > 6;
-	news.from = {with_eras ? ReadInteger<uint64_t>(item.at(6)) : 0, ReadInteger<uint64_t>(item.at(1))};
-	news.to = {with_eras ? ReadInteger<uint64_t>(item.at(7)) : 0, ReadInteger<uint64_t>(item.at(2))};
-	news.read = {news.to.epoch, item.size() > 8 ? ReadInteger<uint64_t>(item.at(8)) : news.to.number};
-	news.full = item.at(3).get<bool>();
-	news.healthy = item.at(4).get<bool>();
+	bool has_epochs = item.size() > 6;
+	update.from = {has_epochs ? ReadInteger<uint64_t>(item.at(6)) : 0, ReadInteger<uint64_t>(item.at(1))};
+	update.to = {has_epochs ? ReadInteger<uint64_t>(item.at(7)) : 0, ReadInteger<uint64_t>(item.at(2))};
+	update.read = {update.to.epoch, item.size() > 8 ? ReadInteger<uint64_t>(item.at(8)) : update.to.number};
+	update.full = item.at(3).get<bool>();
+	update.healthy = item.at(4).get<bool>();
 	for (const Json &row : item.at(5)) {
 		const Json::binary_t &value = row.at(1).get_binary();
-		news.rows.push_back({row.at(0).get<std::string>(), std::string(value.begin(), value.end()), ReadInteger<uint64_t>(row.at(2)),
-		                     row.at(3).get<bool>()});
+		update.rows.push_back({row.at(0).get<std::string>(), std::string(value.begin(), value.end()), ReadInteger<uint64_t>(row.at(2)),
+		                       row.at(3).get<bool>()});
 	}
-	return news;
+	return update;
 }
 
 /** @return The update of a call in \a item; throws if it is malformed. */
 static CallUpdate ReadCallUpdate(const Json &item)
 {
-	CallUpdate news;
-	news.kind = static_cast<CallUpdate::Kind>(ReadInteger<int>(item.at(0)));
-	news.call = ReadInteger<uint64_t>(item.at(1));
-	news.target = item.at(2).get<std::string>();
-	news.prompt_tokens = ReadInteger<uint32_t>(item.at(3));
-	news.generated = ReadInteger<uint32_t>(item.at(4));
-	news.max_tokens = ReadInteger<uint32_t>(item.at(5));
-	news.pool = item.at(6).get<std::string>();
+	CallUpdate update;
+	update.kind = static_cast<CallUpdate::Kind>(ReadInteger<int>(item.at(0)));
+	update.call = ReadInteger<uint64_t>(item.at(1));
+	update.target = item.at(2).get<std::string>();
+	update.prompt_tokens = ReadInteger<uint32_t>(item.at(3));
+	update.generated = ReadInteger<uint32_t>(item.at(4));
+	update.max_tokens = ReadInteger<uint32_t>(item.at(5));
+	update.pool = item.at(6).get<std::string>();
 	int service_class = ReadInteger<int>(item.at(7));
 	if (service_class < 0 || service_class >= static_cast<int>(SERVICE_CLASS_COUNT)) throw std::out_of_range("unknown service class");
-	news.service_class = static_cast<ServiceClass>(service_class);
-	return news;
+	update.service_class = static_cast<ServiceClass>(service_class);
+	return update;
 }
 
 /** @return The report in \a item; throws if it is malformed. */
 static ReportUpdate ReadReportUpdate(const Json &item)
 {
-	ReportUpdate news;
-	news.target = item.at(0).get<std::string>();
-	news.report.capacity_tokens = ReadInteger<uint64_t>(item.at(1));
-	news.report.used_tokens = ReadInteger<uint64_t>(item.at(2));
-	news.report.running = ReadInteger<uint32_t>(item.at(3));
-	news.report.waiting = ReadInteger<uint32_t>(item.at(4));
-	news.report.waiting_tokens = ReadInteger<uint64_t>(item.at(5));
-	news.report.draining = item.at(6).get<bool>();
-	return news;
+	ReportUpdate update;
+	update.target = item.at(0).get<std::string>();
+	update.report.capacity_tokens = ReadInteger<uint64_t>(item.at(1));
+	update.report.used_tokens = ReadInteger<uint64_t>(item.at(2));
+	update.report.running = ReadInteger<uint32_t>(item.at(3));
+	update.report.waiting = ReadInteger<uint32_t>(item.at(4));
+	update.report.waiting_tokens = ReadInteger<uint64_t>(item.at(5));
+	update.report.draining = item.at(6).get<bool>();
+	return update;
 }
 
 std::string EncodePeerMessage(const PeerMessage &message)
@@ -298,7 +298,7 @@
 		return HallLoadMessage{array.at(1).get<std::string>(), array.at(2).get<bool>(), ReadSums(array.at(3)), ReadSums(array.at(4))};
 	case SIGNALS: {
 		SignalsMessage message{array.at(1).get<std::string>(), array.at(2).get<std::string>(), array.at(3).get<bool>(), {}};
-		for (const Json &item : array.at(4)) message.news.push_back(ReadSignalUpdate(item));
+		for (const Json &item : array.at(4)) message.signals.push_back(ReadSignalUpdate(item));
 		return message;
 	}
 	case LEASE_REQUEST:
--- a/src/peer/peer_message.h
+++ b/src/peer/peer_message.h
@@ -63,10 +63,10 @@
 
 /** Signals that targets have sent with their answers. */
 struct SignalsMessage {
-	std::string instance;                 ///< Sender, or the instance that got the signals if it was forwarded.
-	std::string hall;                     ///< Hall of that instance.
-	bool forwarded = false;               ///< Whether it was forwarded to the receiver's hall.
-	std::vector<TargetSignalUpdate> news; ///< Signals by target.
+	std::string instance;                    ///< Sender, or the instance that got the signals if it was forwarded.
+	std::string hall;                        ///< Hall of that instance.
+	bool forwarded = false;                  ///< Whether it was forwarded to the receiver's hall.
+	std::vector<TargetSignalUpdate> signals; ///< Signals by target.
 };
 
 /** Request for a lease of a part of the receiver's share of a target's rate limit. */
--- a/src/tests/crash_watch_test.cpp
+++ b/src/tests/crash_watch_test.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 /** When a target resets the connections that it accepts. */
-enum class Breaking : uint8_t {
-	AsItEnds, ///< After the first request, and it accepts no further connection.
-	Asked,    ///< After each request.
-	AtOnce,   ///< At once, like a target at its connection limit.
+enum class ResetTiming : uint8_t {
+	Terminating,  ///< After the first request, and it accepts no further connection.
+	AfterRequest, ///< After each request.
+	OnAccept,     ///< At once, like a target at its connection limit.
 };
 
 /** A target that resets connections. */
-class BreakingTarget {
+class ResettingTarget {
 public:
-	BreakingTarget(uv_loop_t *loop, Breaking how) : how(how)
+	ResettingTarget(uv_loop_t *loop, ResetTiming timing) : timing(timing)
 	{
 		uv_tcp_init(loop, &this->listener);
 		this->listener.data = this;
@@ -47,12 +47,12 @@
 private:
 	static void OnConnection(uv_stream_t *listener, int)
 	{
-		auto *self = static_cast<BreakingTarget *>(listener->data);
+		auto *self = static_cast<ResettingTarget *>(listener->data);
 		self->connections++;
 		auto *connection = new uv_tcp_t;
 		uv_tcp_init(listener->loop, connection);
 		uv_accept(listener, reinterpret_cast<uv_stream_t *>(connection));
-		if (self->how == Breaking::AtOnce) return Reset(connection);
+		if (self->timing == ResetTiming::OnAccept) return Reset(connection);
 		// The request is read before the reset, so that the client has sent it completely.
 		uv_read_start(
 		        reinterpret_cast<uv_stream_t *>(connection),
@@ -61,7 +61,7 @@
 			        delete[] buffer->base;
 			        Reset(reinterpret_cast<uv_tcp_t *>(stream));
 		        });
-		if (self->how == Breaking::AsItEnds) self->Close();
+		if (self->timing == ResetTiming::Terminating) self->Close();
 	}
 
 	static void Reset(uv_tcp_t *connection)
@@ -69,7 +69,7 @@
 		uv_tcp_close_reset(connection, [](uv_handle_t *handle) { delete reinterpret_cast<uv_tcp_t *>(handle); });
 	}
 
-	Breaking how;
+	ResetTiming timing;
 	uv_tcp_t listener{};
 };
 
@@ -78,12 +78,12 @@
 // Guards against missing a crash because the terminating process still accepted the probe's connection and then reset it.
 TEST_CASE("Crash check - a target that resets the probe as it terminates has crashed; one that keeps accepting connections has not")
 {
-	for (Breaking how : {Breaking::AsItEnds, Breaking::Asked, Breaking::AtOnce}) {
-		bool ends = how == Breaking::AsItEnds;
+	for (ResetTiming timing : {ResetTiming::Terminating, ResetTiming::AfterRequest, ResetTiming::OnAccept}) {
+		bool terminates = timing == ResetTiming::Terminating;
 		uv_loop_t loop;
 		uv_loop_init(&loop);
 		{
-			BreakingTarget target(&loop, how);
+			ResettingTarget target(&loop, timing);
 			HttpUpstream upstream(&loop);
 			std::optional<CrashCheck> found;
 			CrashWatch watch(upstream, std::chrono::milliseconds(300), std::chrono::seconds(2),
@@ -97,8 +97,8 @@
 				if (turn % 25 == 24) watch.OnTick(MonotonicNow());
 			}
 			REQUIRE(found);
-			CHECK(found->HasCrashed() == ends);
-			CHECK(target.connections == (ends ? 1 : 3));
+			CHECK(found->HasCrashed() == terminates);
+			CHECK(target.connections == (terminates ? 1 : 3));
 			target.Close();
 			upstream.OnTick(MonotonicNow());
 		}
--- a/src/tests/feature_switches_test.cpp
+++ b/src/tests/feature_switches_test.cpp
@@ -11,7 +11,7 @@
 TEST_CASE("Switches - names are unique, and several can be switched at once")
 {
 	std::set<std::string> names;
-	for (const FeatureSwitch &rule : FeatureSwitches()) CHECK(names.insert(rule.name).second);
+	for (const FeatureSwitch &feature : FeatureSwitches()) CHECK(names.insert(feature.name).second);
 	GatewayLimits limits;
 	REQUIRE(ApplySwitches("moves,cached-prefix", limits).has_value());
 	CHECK_FALSE(limits.use_migration);
--- a/src/tests/gateway_limits_test.cpp
+++ b/src/tests/gateway_limits_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /** A store that never answers calls made during its outage, and answers later ones at once. */
-class AbsentStore : public TableStore {
+class OutageStore : public TableStore {
 public:
 	uint64_t ReadRows(const std::string &, const std::string &, RowsDone done) override { return this->Take(std::move(done)); }
 	uint64_t ReadChanges(const std::string &, uint64_t, Duration, RowsDone done) override { return this->Take(std::move(done)); }
@@ -31,12 +31,12 @@
 		for (auto &[number, done] : due) done({page, StoreFailure::NoAnswer, ""});
 	}
 
-	bool present = true; ///< Whether the store is available.
+	bool available = true; ///< Whether the store is available.
 
 private:
 	uint64_t Take(RowsDone done)
 	{
-		if (this->present) this->calls[this->last + 1] = std::move(done);
+		if (this->available) this->calls[this->last + 1] = std::move(done);
 		return ++this->last;
 	}
 
@@ -46,32 +46,32 @@
 };
 
 /** @return The longest time from the store's recovery to an answer to the watch, over outages of different lengths. */
-Duration LongestReturn(const WatchLimits &limits, bool known_before)
+Duration LongestRecovery(const WatchLimits &limits, bool known_before)
 {
 	Duration longest{0};
-	for (int away_ms = 200; away_ms < 12000; away_ms += 130) {
-		AbsentStore store;
+	for (int outage_ms = 200; outage_ms < 12000; outage_ms += 130) {
+		OutageStore store;
 		TimePoint now{std::chrono::seconds(100)};
 		TableWatch watch(store, "table", limits, [&now] { return now; });
-		store.present = known_before;
+		store.available = known_before;
 		watch.Start(now);
 		if (known_before) store.Answer();
-		store.present = false;
-		auto pass = [&](Duration time) {
+		store.available = false;
+		auto advance = [&](Duration time) {
 			for (Duration step{0}; step < time; step += milliseconds(10)) {
 				now += milliseconds(10);
 				watch.OnTick(now);
 			}
 		};
-		pass(milliseconds(away_ms));
-		store.present = true;
-		TimePoint returned = now;
-		while (watch.ConfirmedAt() < returned) {
-			pass(milliseconds(10));
+		advance(milliseconds(outage_ms));
+		store.available = true;
+		TimePoint recovered_at = now;
+		while (watch.ConfirmedAt() < recovered_at) {
+			advance(milliseconds(10));
 			store.Answer();
-			REQUIRE(now - returned < std::chrono::seconds(30));
+			REQUIRE(now - recovered_at < std::chrono::seconds(30));
 		}
-		longest = std::max(longest, std::chrono::duration_cast<Duration>(now - returned));
+		longest = std::max(longest, std::chrono::duration_cast<Duration>(now - recovered_at));
 	}
 	return longest;
 }
@@ -85,7 +85,7 @@
 		settings.platform_bounds.recovery = std::chrono::seconds(contact_s);
 		settings.platform_bounds.drain = settings.platform_bounds.config_apply = std::chrono::seconds(contact_s) * 3 / 4;
 		WatchLimits limits = GatewayLimitsFor(settings).watch;
-		CHECK(LongestReturn(limits, true) <= settings.platform_bounds.recovery * 4 / 5);
-		CHECK(LongestReturn(limits, false) <= settings.platform_bounds.recovery * 4 / 5);
+		CHECK(LongestRecovery(limits, true) <= settings.platform_bounds.recovery * 4 / 5);
+		CHECK(LongestRecovery(limits, false) <= settings.platform_bounds.recovery * 4 / 5);
 	}
 }
--- a/src/tests/peer_exchange_test.cpp
+++ b/src/tests/peer_exchange_test.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 /** One instance with an exchange, and a store whose answers the test gives. */
-struct ExchangeWorld {
-	explicit ExchangeWorld(bool bootstrap, uint16_t port = 0)
+struct ExchangeFixture {
+	explicit ExchangeFixture(bool bootstrap, uint16_t port = 0)
 	{
 		uv_loop_init(&this->loop);
 		ExchangeLimits limits;
@@ -23,7 +23,7 @@
 		REQUIRE(this->exchange->Start({"127.0.0.1", port}, MonotonicNow()));
 	}
 
-	~ExchangeWorld()
+	~ExchangeFixture()
 	{
 		this->exchange.reset();
 		uv_run(&this->loop, UV_RUN_NOWAIT);
@@ -52,62 +52,62 @@
 
 TEST_CASE("Exchange - during bootstrap the own row is written before the list is read, so that of two instances one sees the other")
 {
-	ExchangeWorld world(true);
-	world.exchange->OnTick(MonotonicNow());
-	CHECK(world.store.calls.empty());
-	REQUIRE(world.store.writes.size() == 1);
-	world.store.writes[0].done(StoreWriteResult::Done);
-	CHECK(world.store.calls.size() == 1);
-	world.AnswerList({{"self", world.store.writes[0].value, 9, false}});
-	world.exchange->OnTick(MonotonicNow());
-	CHECK(world.store.writes.size() == 1);
-	CHECK(world.store.calls.empty());
+	ExchangeFixture fixture(true);
+	fixture.exchange->OnTick(MonotonicNow());
+	CHECK(fixture.store.calls.empty());
+	REQUIRE(fixture.store.writes.size() == 1);
+	fixture.store.writes[0].done(StoreWriteResult::Done);
+	CHECK(fixture.store.calls.size() == 1);
+	fixture.AnswerList({{"self", fixture.store.writes[0].value, 9, false}});
+	fixture.exchange->OnTick(MonotonicNow());
+	CHECK(fixture.store.writes.size() == 1);
+	CHECK(fixture.store.calls.empty());
 }
 
 TEST_CASE("Exchange - an instance whose row is left from an earlier incarnation does not write it again")
 {
 	std::string own;
 	{
-		ExchangeWorld first(true);
+		ExchangeFixture first(true);
 		own = first.store.writes.at(0).value;
 	}
 	auto port = static_cast<uint16_t>(std::stoi(own.substr(own.find(':') + 1)));
-	ExchangeWorld world(false, port);
-	CHECK(world.store.calls.size() == 1);
-	world.AnswerList({{"self", own, 5, false}, {"other", "127.0.0.1:9 10 hall-b", 5, false}});
-	world.exchange->OnTick(MonotonicNow());
-	CHECK(world.store.writes.empty());
-	CHECK(world.exchange->Instances() == 2);
+	ExchangeFixture fixture(false, port);
+	CHECK(fixture.store.calls.size() == 1);
+	fixture.AnswerList({{"self", own, 5, false}, {"other", "127.0.0.1:9 10 hall-b", 5, false}});
+	fixture.exchange->OnTick(MonotonicNow());
+	CHECK(fixture.store.writes.empty());
+	CHECK(fixture.exchange->Instances() == 2);
 }
 
 TEST_CASE("Exchange - an instance that joins reads once more after its row was written")
 {
-	ExchangeWorld world(false);
-	world.AnswerList({});
-	world.exchange->OnTick(MonotonicNow());
-	REQUIRE(world.store.writes.size() == 1);
-	world.store.writes[0].done(StoreWriteResult::Done);
-	world.exchange->OnTick(MonotonicNow());
-	REQUIRE(world.store.calls.size() == 1);
-	CHECK(world.store.Newest().changes);
-	world.AnswerList({{"other", "127.0.0.1:9 10 hall-b", 11, false}});
-	CHECK(world.exchange->Instances() == 2);
+	ExchangeFixture fixture(false);
+	fixture.AnswerList({});
+	fixture.exchange->OnTick(MonotonicNow());
+	REQUIRE(fixture.store.writes.size() == 1);
+	fixture.store.writes[0].done(StoreWriteResult::Done);
+	fixture.exchange->OnTick(MonotonicNow());
+	REQUIRE(fixture.store.calls.size() == 1);
+	CHECK(fixture.store.Newest().changes);
+	fixture.AnswerList({{"other", "127.0.0.1:9 10 hall-b", 11, false}});
+	CHECK(fixture.exchange->Instances() == 2);
 }
 
 TEST_CASE("Exchange - a row that a delayed removal deletes is written again, but not by an instance that stops")
 {
 	for (bool stops : {false, true}) {
-		ExchangeWorld world(false);
-		world.AnswerList({});
-		world.exchange->OnTick(MonotonicNow());
-		REQUIRE(world.store.writes.size() == 1);
-		world.store.writes[0].done(StoreWriteResult::Done);
-		if (stops) world.exchange->Deregister();
-		world.exchange->OnTick(MonotonicNow());
-		world.AnswerList({{"self", "", 11, true}});
+		ExchangeFixture fixture(false);
+		fixture.AnswerList({});
+		fixture.exchange->OnTick(MonotonicNow());
+		REQUIRE(fixture.store.writes.size() == 1);
+		fixture.store.writes[0].done(StoreWriteResult::Done);
+		if (stops) fixture.exchange->Deregister();
+		fixture.exchange->OnTick(MonotonicNow());
+		fixture.AnswerList({{"self", "", 11, true}});
 		// Written after a delay, as a store that rejects the row would otherwise get it with every update.
-		CHECK(world.store.writes.size() == 1);
-		world.exchange->OnTick(MonotonicNow() + ExchangeLimits{}.register_retry_delay);
-		CHECK(world.store.writes.size() == (stops ? 1 : 2));
+		CHECK(fixture.store.writes.size() == 1);
+		fixture.exchange->OnTick(MonotonicNow() + ExchangeLimits{}.register_retry_delay);
+		CHECK(fixture.store.writes.size() == (stops ? 1 : 2));
 	}
 }
--- a/src/tests/suspension_test.cpp
+++ b/src/tests/suspension_test.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 /** One object of each kind that depends on time, all set up at the same moment. */
-struct Holders {
-	Holders()
+struct TimedObjects {
+	TimedObjects()
 	{
 		this->lease.OnWritten(LeaseRow{"self", 1, 7, "1"}, WriteResult::Done, "1", this->start, this->start);
 		this->cold.SetShare({2, std::chrono::seconds(1)});
@@ -75,7 +75,7 @@
 	}
 
 	/** @return The state of all objects at \a at. */
-	std::string Say(TimePoint at) const
+	std::string Describe(TimePoint at) const
 	{
 		std::string text = std::string("lease ") + (this->lease.Held(at) ? "held" : "over");
 		text += std::string(", cold ") + (this->cold.IsCold(at) ? "yes" : "no") + (this->cold.MaySend(at) ? " may send" : " waits");
@@ -112,17 +112,17 @@
 {
 	bool good = rc::check("jumps", [] {
 		Duration jump = std::chrono::milliseconds(*rc::gen::inRange(0, 40000));
-		Holders stood_still;
-		Holders went_on;
-		TimePoint end = stood_still.start + jump;
-		for (TimePoint at = went_on.start; at < end; at += std::chrono::milliseconds(250)) went_on.Tick(at);
+		TimedObjects suspended;
+		TimedObjects ticking;
+		TimePoint end = suspended.start + jump;
+		for (TimePoint at = ticking.start; at < end; at += std::chrono::milliseconds(250)) ticking.Tick(at);
 		// State that needs no tick is correct before the first one, the rest after it.
-		RC_ASSERT(stood_still.lease.Held(end) == went_on.lease.Held(end));
-		RC_ASSERT(stood_still.cold.MaySend(end) == went_on.cold.MaySend(end));
-		RC_ASSERT(stood_still.places.Evacuated(end) == went_on.places.Evacuated(end));
-		stood_still.Tick(end);
-		went_on.Tick(end);
-		RC_ASSERT(stood_still.Say(end) == went_on.Say(end));
+		RC_ASSERT(suspended.lease.Held(end) == ticking.lease.Held(end));
+		RC_ASSERT(suspended.cold.MaySend(end) == ticking.cold.MaySend(end));
+		RC_ASSERT(suspended.places.Evacuated(end) == ticking.places.Evacuated(end));
+		suspended.Tick(end);
+		ticking.Tick(end);
+		RC_ASSERT(suspended.Describe(end) == ticking.Describe(end));
 	});
 	CHECK(good);
 }
--- a/src/tests/table_snapshot_test.cpp
+++ b/src/tests/table_snapshot_test.cpp
@@ -16,8 +16,8 @@
 const char *const HALL = "hall-a";
 
 /** One instance on a shared loop; the list of instances has a hundred others that don't run. */
-struct FleetInstance {
-	FleetInstance(uv_loop_t *loop, std::string name)
+struct TestInstance {
+	TestInstance(uv_loop_t *loop, std::string name)
 	    : name(std::move(name)), exchange(loop, this->store, this->load, this->name, HALL, {}, [](const ReportUpdate &) {})
 	{
 		for (TableWatch *table : {&this->first, &this->second}) this->exchange.Share(*table);
@@ -38,7 +38,7 @@
 		return {this->name, this->store.writes[0].value, 11, false};
 	}
 
-	static WatchLimits Kept()
+	static WatchLimits KeepRows()
 	{
 		WatchLimits limits;
 		limits.keep_rows = true;
@@ -52,8 +52,8 @@
 	PeerLoad load{this->targets, this->pools, milliseconds(2000)};
 	ManualStore store;       ///< Store with the list of instances.
 	ManualStore table_store; ///< Store with the tables.
-	TableWatch first{this->table_store, "first", Kept()};
-	TableWatch second{this->table_store, "second", Kept()};
+	TableWatch first{this->table_store, "first", KeepRows()};
+	TableWatch second{this->table_store, "second", KeepRows()};
 	PeerExchange exchange; ///< The exchange under test.
 };
 
@@ -76,32 +76,32 @@
 	uv_loop_t loop;
 	uv_loop_init(&loop);
 	{
-		FleetInstance knows(&loop, "knows");
-		FleetInstance starts(&loop, InCellOf("knows"));
-		StoredRow row = knows.List({});
-		starts.List({row});
-		CHECK(starts.exchange.Cells() == 4);
-		CHECK(starts.exchange.ChooseTableSource(MonotonicNow()) == TableSource::Ask);
-		knows.first.Start(MonotonicNow());
-		knows.table_store.Answer(Page({"a", "b"}, 5));
-		for (TableWatch *table : {&starts.first, &starts.second}) table->StartFromPeers(MonotonicNow() + hours(1));
+		TestInstance informed(&loop, "knows");
+		TestInstance starting(&loop, InCellOf("knows"));
+		StoredRow row = informed.List({});
+		starting.List({row});
+		CHECK(starting.exchange.Cells() == 4);
+		CHECK(starting.exchange.ChooseTableSource(MonotonicNow()) == TableSource::FromPeers);
+		informed.first.Start(MonotonicNow());
+		informed.table_store.Answer(Page({"a", "b"}, 5));
+		for (TableWatch *table : {&starting.first, &starting.second}) table->StartFromPeers(MonotonicNow() + hours(1));
 		auto run = [&](auto done) {
 			for (int turn = 0; turn < 300 && !done(); turn++) {
 				uv_run(&loop, UV_RUN_NOWAIT);
 				uv_sleep(1);
-				for (FleetInstance *each : {&knows, &starts}) each->exchange.OnTick(MonotonicNow());
+				for (TestInstance *each : {&informed, &starting}) each->exchange.OnTick(MonotonicNow());
 			}
 		};
-		run([&] { return starts.first.IsKnown(); });
-		CHECK(starts.first.IsKnown());
-		CHECK(starts.first.RowsVersion() == knows.first.RowsVersion());
-		CHECK_FALSE(starts.second.IsKnown());
+		run([&] { return starting.first.IsKnown(); });
+		CHECK(starting.first.IsKnown());
+		CHECK(starting.first.RowsVersion() == informed.first.RowsVersion());
+		CHECK_FALSE(starting.second.IsKnown());
 		// A request that came before the table was known is answered once it is.
-		knows.second.Start(MonotonicNow());
-		knows.table_store.Answer(Page({"c"}, 7));
-		run([&] { return starts.second.IsKnown(); });
-		CHECK(starts.second.IsKnown());
-		CHECK(starts.table_store.calls.empty());
+		informed.second.Start(MonotonicNow());
+		informed.table_store.Answer(Page({"c"}, 7));
+		run([&] { return starting.second.IsKnown(); });
+		CHECK(starting.second.IsKnown());
+		CHECK(starting.table_store.calls.empty());
 	}
 	while (uv_run(&loop, UV_RUN_NOWAIT) != 0) {}
 	uv_loop_close(&loop);
