--- a/src/gateway/crash_records.h
+++ b/src/gateway/crash_records.h
@@ -68,10 +68,15 @@
 		TimePoint due;       ///< When the change is to be written, or its write times out.
 	};
 
+	/** @return Whether \a crash is about to be written. */
 	bool IsPendingAdd(const CrashRecord &crash) const;
+	/** Send the write for \a change. */
 	void Write(const CrashRecord &crash, Change &change, TimePoint now);
+	/** The write \a number has ended. */
 	void OnWritten(const CrashRecord &crash, uint64_t number, StoreWriteResult result);
+	/** Apply rows of the table. @param is_snapshot Whether they are all rows, rather than changes. */
 	void OnRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now);
+	/** Write rows again that a restored store lacks. */
 	void RewriteMissing(const std::set<CrashRecord> &missing, TimePoint now);
 
 	TableStore &store;
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -81,10 +81,15 @@
 		TimePoint at; ///< Time of the cancellation.
 	};
 
+	/** @return Whether a send to \a incarnation was recently cancelled. */
 	bool HasCancelledSend(const std::string &incarnation) const;
+	/** Add the recently cancelled sends to the target of \a check to its suspects. */
 	void AddCancelledSends(CrashCheck &check);
+	/** Send a liveness probe to the target \a name. */
 	void SendProbe(const std::string &name, PendingCheck &check);
+	/** Conclude the check, or repeat the probe at the next tick. */
 	void OnProbeResult(const std::string &name, uint64_t token, ProbeResult result);
+	/** Sort out the suspects of a finished check, and report it. */
 	void Conclude(const std::string &name, TimePoint now);
 
 	HttpUpstream &upstream;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -240,7 +240,7 @@
 	     {"body_bytes", std::to_string(exchange->body.size())},
 	     {"limit_ms", FormatMilliseconds(request.response_deadline - request.spec.arrived)},
 	     {"configuration", std::to_string(this->routes.Configuration().version)}});
-	this->call_meter.OnCall(request.pool, request.spec.arrived);
+	this->arrivals.OnCall(request.pool, request.spec.arrived);
 	CallId id = request.spec.id;
 	std::shared_ptr<RelayCall> call;
 	if (request.route.kind == RouteType::Stream) {
@@ -287,7 +287,7 @@
 
 void Gateway::Execute(Decisions decisions)
 {
-	this->carrier.Execute(std::move(decisions));
+	this->executor.Execute(std::move(decisions));
 }
 
 void Gateway::OnCallFinished(CallId call)
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -91,13 +91,21 @@
 	Dispatcher dispatcher;
 
 private:
+	/** Record the crash that \a check has found, or drop the suspicion. */
 	void OnCrashChecked(const CrashCheck &check);
+	/** Apply changes of the table of crash records to the quarantine. */
 	void OnCrashRecords(const std::vector<CrashRecord> &added, const std::vector<CrashRecord> &removed, TimePoint now);
+	/** Log and apply changes of the set of quarantined requests. */
 	void OnQuarantineChanged(TimePoint now);
+	/** Write pending crash records, and remove expired ones. */
 	void ExpireCrashRecords(TimePoint now);
+	/** Apply a report that a peer has fetched. */
 	void OnPeerReport(const ReportUpdate &update);
+	/** Log \a report beside the load that was estimated before. */
 	void LogReport(TargetNumber target, const LoadReport &report);
+	/** Apply the load of another hall's targets. */
 	void OnHallLoad(const HallLoadMessage &message);
+	/** Apply a report that was made about \a age ago. */
 	void ApplyReport(TargetNumber target, LoadReport report, Duration age);
 	/** What the gateway stores about one target beside what the dispatcher does. */
 	struct TargetRecord {
@@ -117,6 +125,7 @@
 		TimePoint limit_logged_at;
 	};
 
+	/** Apply the load that a plain service sends with its answers. */
 	void OnLoadHeader(TargetNumber target, const TargetLoad &load);
 	/** The target incarnation \a target has announced that it drains. @param source Where the notice came from, for logs. */
 	void OnTargetDrainNotice(const std::string &target, const char *source, TimePoint now);
@@ -142,24 +151,36 @@
 	void RequestLeases(TargetNumber target, TimePoint now);
 	/** Answer another instance's request for a part of this one's share. @return The part granted. */
 	uint32_t OnLeaseRequest(const LeaseRequestMessage &request);
+	/** Apply the answer to a lease request. */
 	void OnLeaseGrant(const LeaseGrantMessage &grant);
 	/** Recompute the shares of all rate limits, as the set of instances may have changed. */
 	void RefreshLimits(TimePoint now);
 	/** Log the signals in \a target's answer to \a request if they are new. */
 	void LogSignals(const RelayRequest &request, TargetNumber target, const TargetSignals &signals, TimePoint now);
 
+	/** Serve a caller's request. */
 	void HandleRequest(const std::shared_ptr<FrontExchange> &exchange);
+	/** Answer a readiness probe. */
 	void HandleReady(const std::shared_ptr<FrontExchange> &exchange);
+	/** Answer with the metrics. */
 	void HandleMetrics(const std::shared_ptr<FrontExchange> &exchange);
+	/** Reject a request before it reaches the dispatcher. */
 	void Reject(const std::shared_ptr<FrontExchange> &exchange, const RequestInfo &info, int status, const char *reason,
 	            std::optional<Duration> retry_after);
+	/** Find route, account and pool of \a request. @return False if it was rejected. */
 	bool Admit(const std::shared_ptr<FrontExchange> &exchange, RelayRequest *request);
+	/** Fill in what the dispatcher has to know of \a request. */
 	void FillCallSpec(RelayRequest *request, TimePoint now);
+	/** Start to serve an admitted request. */
 	void Begin(const std::shared_ptr<FrontExchange> &exchange, RelayRequest request);
 
+	/** Connect the tables of the store to their handlers; reading starts with StartTables(). */
 	void WatchStore();
+	/** Set the handlers for the operators' table: configurations and evacuated halls. */
 	void FollowConfiguration();
+	/** Set the handlers for the table of targets. */
 	void FollowTargets();
+	/** Set the handlers for the exchange with other instances. */
 	void FollowInstances();
 	/**
 	 * Log when \a watch finds the store unavailable, available, outdated or restored.
@@ -167,14 +188,21 @@
 	 * @param on_store_restored Called when the store has been restored from a backup, before the next snapshot of the table.
 	 */
 	void LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_store_restored);
+	/** Apply rows of the operators' table. @param is_snapshot Whether they are all rows, rather than changes. */
 	void OnOperatorRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now);
+	/** Apply the newest configuration in \a rows. */
 	void OnConfigurationRows(const std::vector<StoredRow> &rows);
+	/** Apply rows that list evacuated halls. */
 	void OnEvacuationRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now);
 	/** Update which halls are evacuated; that also changes with time. */
 	void RefreshEvacuated(TimePoint now);
+	/** Treat the targets of \a hall, which is no longer evacuated, as cold. */
 	void OnHallReinstated(const std::string &hall, TimePoint now);
+	/** Limit the rate of requests to a cold target for the time \a cold_remaining. */
 	void MarkCold(TargetNumber number, const ListedTarget &listed, Duration cold_remaining, TimePoint now);
+	/** Update the halls of all requests in progress. */
 	void RefreshHalls(TimePoint now);
+	/** Put \a configuration in force unless a newer one is. */
 	void ApplyConfiguration(ServingConfiguration configuration);
 	/** Start to read the tables, from the store or from peers, once it is known how many instances there are. */
 	void StartTables(TimePoint now);
@@ -182,30 +210,44 @@
 	void OnInstancesListed(TimePoint now);
 	/** Remove the targets of other cells from \a rows of the table of targets. */
 	void SelectTargets(std::vector<StoredRow> &rows, bool is_snapshot);
-	/** @return The part of \a bound, a rate for all instances, that belongs to this cell for \a target. */
-	RateLimit CellRateLimit(TargetNumber target, RateLimit bound) const;
+	/** @return The part of \a limit, a rate for all instances, that belongs to this cell for \a target. */
+	RateLimit CellRateLimit(TargetNumber target, RateLimit limit) const;
+	/** Apply rows of the table of targets. @param is_snapshot Whether they are all rows, rather than changes. */
 	void OnTargetRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now);
 	/** Count an unreadable row \a key of the table of targets, and log it once for each cause. */
 	void ReportUnreadable(const std::string &key, const Error &error);
+	/** Apply changes of the targets in use. */
 	void OnTargetEvents(const std::vector<TargetEvent> &events, TimePoint now);
+	/** Add or update a target in use. */
 	void UseTarget(const ListedTarget &target);
+	/** Stop new requests to a target, and migrate runs away from it. */
 	void DrainTarget(const ListedTarget &target, const char *source, TimePoint now);
 	/** Fail the requests at the target incarnation \a name, which has ended. */
 	void FailCallsAt(const std::string &name, TimePoint now);
+	/** Update all targets in use, as their pools may have changed. */
 	void RefreshTargets();
+	/** Choose whether updates are exchanged only inside the local hall. */
 	void RefreshPeerScope();
+	/** Fetch the reports that are due. */
 	void PollReports(TimePoint now);
+	/** Fetch a report of \a target. */
 	void PollReport(TargetNumber target, TimePoint now);
+	/** @return The time between two reports of \a target. */
 	Duration ReportInterval(const TargetState &target) const;
 	/** Update the list of targets whose reports are fetched. */
 	void RefreshPolledTargets(TimePoint now);
+	/** Apply and publish a report that was fetched here; nothing if that failed. */
 	void OnReport(TargetNumber target, const std::optional<EngineReport> &report);
 
+	/** Handle everything that depends on time. */
 	void OnTick();
 	/** Detect a suspension of the process before anything is decided on outdated data. */
 	void CheckSuspension(TimePoint now);
+	/** Catch up after a suspension of the process. */
 	void OnResumed(Duration suspended_for);
+	/** End the event loop once all requests are finished, or abort them shortly before the platform's kill. */
 	void AdvanceShutdown(TimePoint now);
+	/** @return Whether requests can be served. */
 	bool IsReady() const;
 
 	uv_loop_s *loop;
@@ -230,7 +272,7 @@
 	NameTable<AccountNumber> accounts;              ///< Numbers of client accounts.
 	std::set<TargetNumber> limited;                 ///< Targets with a rate limit.
 	std::map<std::string, TimePoint> drain_notices; ///< Target incarnations that announced their draining, with the time of the notice.
-	ArrivalCounter call_meter;                      ///< Recent calls by pool.
+	ArrivalCounter arrivals;                        ///< Recent calls by pool.
 	TimePoint started_at;                           ///< When this instance started.
 	/** Instances that share the rate limits of a hall's targets; a cache, cleared once a second. */
 	std::map<std::string, std::vector<std::string>> sharers;
@@ -247,7 +289,7 @@
 	HttpFront metrics_front; ///< Listener for metrics.
 	pcg64 random;
 	std::unordered_map<CallId, std::shared_ptr<RelayCall>, StrongIdHash> calls; ///< Requests not yet answered.
-	DecisionExecutor<RelayCall> carrier{this->calls};                           ///< Passes decisions to them.
+	DecisionExecutor<RelayCall> executor{this->calls};                          ///< Passes decisions to them.
 	uint64_t next_call = 1;                                                     ///< Number of the next request.
 	bool stopping = false;                                                      ///< Whether Stop() was called.
 	TimePoint stop_started;
--- a/src/gateway/gateway_crashes.cpp
+++ b/src/gateway/gateway_crashes.cpp
@@ -63,16 +63,16 @@
 
 void Gateway::OnQuarantineChanged(TimePoint now)
 {
-	const Quarantine &suspicions = this->dispatcher.QuarantineState();
+	const Quarantine &quarantine = this->dispatcher.QuarantineState();
 	std::set<RequestFingerprint> before = std::move(this->quarantined);
-	std::vector<RequestFingerprint> after = suspicions.Quarantined(now);
+	std::vector<RequestFingerprint> after = quarantine.Quarantined(now);
 	this->quarantined = {after.begin(), after.end()};
 	for (RequestFingerprint fingerprint : after) {
 		if (before.erase(fingerprint) > 0) continue;
 		Log(LogLevel::Warning, "quarantined",
 		    {{"print", FormatFingerprint(fingerprint)},
-		     {"ends", std::to_string(suspicions.CrashesOf(fingerprint).size())},
-		     {"left_ms", FormatMilliseconds(suspicions.RemainingTime(fingerprint, now))}});
+		     {"ends", std::to_string(quarantine.CrashesOf(fingerprint).size())},
+		     {"left_ms", FormatMilliseconds(quarantine.RemainingTime(fingerprint, now))}});
 		std::vector<std::shared_ptr<RelayCall>> same;
 		for (const auto &[id, call] : this->calls) {
 			if (call->Spec().fingerprint == fingerprint) same.push_back(call);
@@ -85,14 +85,16 @@
 
 void Gateway::OnAnsweredSuccessfully(const RelayRequest &request)
 {
-	std::vector<CrashRecord> own = this->dispatcher.QuarantineState().ClearedBySuccess(request.spec.fingerprint);
-	if (own.empty()) return;
-	for (const CrashRecord &crash : own) {
+	std::vector<CrashRecord> cleared = this->dispatcher.QuarantineState().ClearedBySuccess(request.spec.fingerprint);
+	if (cleared.empty()) return;
+	for (const CrashRecord &crash : cleared) {
 		this->dispatcher.QuarantineState().Remove(crash);
 		this->crash_records.Remove(crash);
 	}
 	Log(LogLevel::Info, "suspicion-cleared",
-	    {{"request", request.info.attempt}, {"print", FormatFingerprint(request.spec.fingerprint)}, {"ends", std::to_string(own.size())}});
+	    {{"request", request.info.attempt},
+	     {"print", FormatFingerprint(request.spec.fingerprint)},
+	     {"ends", std::to_string(cleared.size())}});
 	this->OnQuarantineChanged(MonotonicNow());
 }
 
--- a/src/gateway/gateway_leases.cpp
+++ b/src/gateway/gateway_leases.cpp
@@ -22,11 +22,11 @@
 	return !this->settings.bootstrap && now - this->started_at < LEASE_TERM + window;
 }
 
-RateLimit Gateway::CellRateLimit(TargetNumber number, RateLimit bound) const
+RateLimit Gateway::CellRateLimit(TargetNumber number, RateLimit limit) const
 {
 	const std::string &hall = this->dispatcher.Targets().Get(number).hall;
-	bound.per_second *= this->division.ShareOf(this->records[number.value].pool, hall, this->peers.Cells());
-	return bound;
+	limit.per_second *= this->division.ShareOf(this->records[number.value].pool, hall, this->peers.Cells());
+	return limit;
 }
 
 void Gateway::UpdateLimitShare(TargetNumber number, TimePoint now)
@@ -57,15 +57,15 @@
 void Gateway::RequestLeases(TargetNumber number, TimePoint now)
 {
 	const TargetState &target = this->dispatcher.Targets().Get(number);
-	uint32_t demand = this->call_meter.Recent(this->records[number.value].pool, now);
+	uint32_t demand = this->arrivals.Recent(this->records[number.value].pool, now);
 	if (!target.restrictions.limit.WantsLeases(demand, now)) return;
 	if (this->HasJustStarted(target.restrictions.limit.Share().window, now)) return;
 	const std::vector<std::string> &all = this->SharersOf(target.hall);
 	if (std::find(all.begin(), all.end(), this->settings.name) == all.end()) return;
-	RateLimit bound = this->CellRateLimit(number, target.restrictions.limit.Bound());
-	auto in_span = static_cast<size_t>(std::max(1.0, bound.per_second * Seconds(bound.span)));
+	RateLimit limit = this->CellRateLimit(number, target.restrictions.limit.Bound());
+	auto requests_in_span = static_cast<size_t>(std::max(1.0, limit.per_second * Seconds(limit.span)));
 	// With more sharers than requests in a window, only some hold a share.
-	std::vector<std::string> owners = RendezvousChoice(target.name, all, in_span);
+	std::vector<std::string> owners = RendezvousChoice(target.name, all, requests_in_span);
 	std::erase(owners, this->settings.name);
 	for (const LeaseRequest &request : this->dispatcher.Targets().RequestLeases(number, owners, demand, now))
 		this->peers.RequestLease(request.owner, {this->settings.name, target.name, request.number, request.wanted});
@@ -76,7 +76,7 @@
 	TimePoint now = MonotonicNow();
 	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(request.target);
 	if (!number || number->value >= this->records.size()) return 0;
-	uint32_t own = this->call_meter.Recent(this->records[number->value].pool, now);
+	uint32_t own = this->arrivals.Recent(this->records[number->value].pool, now);
 	uint32_t granted = this->dispatcher.Targets().Lend(*number, request.instance, request.wanted, own, now);
 	this->metrics.Count("cottonspool_lease_asks_total");
 	return granted;
--- a/src/gateway/gateway_signals.cpp
+++ b/src/gateway/gateway_signals.cpp
@@ -38,8 +38,8 @@
 	update.limit = target.restrictions.limit.IsActive() ? SignalState::Present : SignalState::Absent;
 	update.limit_per_s = target.restrictions.limit.IsActive() ? target.restrictions.limit.Bound().per_second : 0;
 	/** Upper limit of the age that is sent; older values are equally outdated. */
-	static constexpr Duration OLDEST = std::chrono::minutes(10);
-	update.request_age = std::min(OLDEST, now - target.restrictions.limit.LastReportedAt());
+	static constexpr Duration MAX_AGE = std::chrono::minutes(10);
+	update.request_age = std::min(MAX_AGE, now - target.restrictions.limit.LastReportedAt());
 	return update;
 }
 
@@ -73,8 +73,8 @@
 	if (!limit.IsActive()) this->limited.erase(number);
 	this->UpdateLimitShare(number, now);
 	TargetRecord &record = this->records[number.value];
-	bool was_named = record.limited_as_logged;
-	if (was_named == limit.IsActive() && now - record.limit_logged_at < SIGNALS_LOG_INTERVAL) return;
+	bool was_limited = record.limited_as_logged;
+	if (was_limited == limit.IsActive() && now - record.limit_logged_at < SIGNALS_LOG_INTERVAL) return;
 	record.limited_as_logged = limit.IsActive();
 	record.limit_logged_at = now;
 	const RateShare &share = limit.Share();
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -182,12 +182,19 @@
 
 private:
 	struct PendingTablesRequest;
+	/** Handle a message of a peer. */
 	void OnMessage(const PeerMessage &message, const PeerLinks::Reply &reply);
+	/** Send a heartbeat, a snapshot of the own calls, to all peers. */
 	void Heartbeat(TimePoint now);
+	/** Update the live peers, and which instance reads or publishes for which. */
 	void RefreshReaders(TimePoint now);
+	/** Apply updates of tables, and forward them to the hall if this instance is in charge of that. */
 	void OnTables(const TablesMessage &message, TimePoint now);
+	/** Request missing tables from a peer, if it is time to. */
 	void RequestTables(TimePoint now);
+	/** Store a peer's request for tables. */
 	void OnTablesRequest(const TablesRequestMessage &request, const PeerLinks::Reply &reply, TimePoint now);
+	/** Answer stored requests with the tables that are known by now. */
 	void AnswerTablesRequests(TimePoint now);
 	/** Answer \a request with the requested tables that are known here, within the budget, and remove them from it. */
 	void AnswerTablesRequest(PendingTablesRequest &request, TimePoint now);
@@ -205,24 +212,41 @@
 	std::vector<std::string> RequestCandidates(const std::vector<std::string> &order) const;
 	/** @return This instance and all listed ones of its cell, with the speed of their network links. */
 	std::vector<Reader> ListedInstances() const;
+	/** Handle a change of the number of cells. */
 	void OnCellsChanged(TimePoint now);
+	/** Send \a message to all peers except \a except, within the budget for rows. */
 	void PublishTables(TablesMessage message, const std::set<std::string> &except);
+	/** @return The time between two heartbeats. */
 	Duration HeartbeatInterval() const;
+	/** @return Whether an urgent update may be sent without a batch. */
 	bool MaySendNow(TimePoint now) const;
+	/** Add a peer that has announced itself. */
 	void OnPresence(const PresenceMessage &message, TimePoint now);
+	/** @return The location and view of this instance. */
 	PresenceMessage Presence() const;
+	/** Send the load of the hall's targets to other halls. */
 	void PublishHallLoad(TimePoint now);
+	/** Apply the load of another hall, and forward it inside the hall. */
 	void OnHallLoad(const HallLoadMessage &message);
+	/** Apply signals that a peer got from targets, and forward them between halls. */
 	void OnSignals(const SignalsMessage &message);
+	/** Send the pending signals. */
 	void FlushSignals(TimePoint now);
+	/** Write this instance's row. */
 	void Register(TimePoint now);
+	/** The write of the row has ended. */
 	void OnRegistered(StoreWriteResult result, TimePoint now);
+	/** Start to follow the table of instances. */
 	void BeginReading(TimePoint now);
+	/** Apply rows of the table of instances. @param is_snapshot Whether they are all rows, rather than changes. */
 	void OnRows(const std::vector<StoredRow> &rows, bool is_snapshot);
+	/** Forget the peers before a snapshot, except connected ones after a restore of the store. */
 	void ResetPeers();
+	/** Update which peers this instance keeps links to. */
 	void Dial(TimePoint now);
 	/** @return This instance and its live peers, with the speed of their network links. */
 	std::vector<Reader> Readers() const;
+	/** @return All own calls at targets. */
 	LoadMessage MakeLoadSnapshot() const;
 
 	TableStore &store;
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -119,7 +119,9 @@
 	bool concluded = false;             ///< Final answer given, or caller disconnected.
 
 private:
+	/** Cancel everything, as nobody waits for the answer. */
 	void OnCallerDisconnected();
+	/** Log the send to the current target. */
 	void LogSend(TimePoint now);
 };
 
@@ -142,7 +144,9 @@
 		std::string body;
 	};
 
+	/** Deliver a complete answer, or try another target. */
 	void OnCompleteAnswer();
+	/** Give \a complete as the final answer. */
 	void Deliver(const Answer &answer);
 
 	Answer answer;                     ///< Answer being received.
--- a/src/gateway/stream_relay.h
+++ b/src/gateway/stream_relay.h
@@ -56,30 +56,51 @@
 		bool counted = false;               ///< Whether the copy's memory is counted at the new engine.
 	};
 
+	/** Forward the complete events received so far. */
 	void ForwardEvents();
+	/** Forward \a event unless it was forwarded before. */
 	void ForwardEvent(const RawEvent &event, TimePoint now);
+	/** Finish the answer after the last event. */
 	void Finish();
+	/** Start the answer to the caller. */
 	void StartAnswer(const HttpHead &head);
+	/** Handle a complete answer that is not a stream. */
 	void ForwardErrorAnswer();
+	/** Start to migrate the run if its engine drains and another one has headroom. */
 	void TryMigrate(TimePoint now);
 	/** @return Time until the earlier copies from the same engine are almost done. */
 	Duration MigrationCopyDelay() const;
+	/** The copy request has ended: resume the run at the new engine, or try again later. */
 	void OnCopied(const MigrationAnswer &answer);
 	/** @return Whether the run may resume at \a to; that engine or its hall may have become unavailable during the copy. */
 	bool MayResumeAt(TargetNumber to) const;
+	/** Release a finished copy whose engine can no longer be used. */
 	void DiscardCopy();
+	/** Forget the migration. */
 	void ResetMigration();
+	/** Cancel the old run once the new engine is connected. */
 	void CancelSource();
+	/** Ask the new engine to resume the run at \a point. */
 	void Resume(const ResumePoint &point, TimePoint now);
+	/** Resume the run from the copy at another engine. @return False if there is none that can be used. */
 	bool ResumeFromBackup(const char *why, TimePoint now);
+	/** @return Whether the engine has been silent for too long and a copy of the run exists. */
 	bool IsStalled(TimePoint now) const;
+	/** The new engine answers. @return False if the answer belongs to another request. */
 	bool OnResumeHead(const HttpHead &head);
+	/** The resume request has ended before the new engine took over. */
 	void OnResumeEnd(UpstreamEnd end, const char *cause);
+	/** The current call has ended. */
 	void OnRunEnd(UpstreamEnd end, const char *cause);
+	/** Continue with the stream of the new engine. */
 	void SwitchToNewEngine();
+	/** Give the migration up, and allow another one after \a retry_delay. */
 	void FailMigration(const char *why, Duration retry_delay);
+	/** Fail the request, as its run is lost. */
 	void FailRun(const char *cause);
+	/** Pause or continue reading from the engine, according to the caller's backlog. */
 	void UpdateFlowControl();
+	/** Log a step of the migration. */
 	void LogMigration(const char *step, const char *result);
 
 	EventSplitter splitter; ///< Splits the stream of the current engine into events.
