--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file crash_watch.h Finds out whether a target that broke sends off has ended, and which requests it had just begun. */
+/** @file crash_watch.h Finds out whether a target that interrupted sends has crashed, and which requests may have caused it. */
 
 #pragma once
 
@@ -12,88 +12,93 @@
 
 namespace cottonspool {
 
-/** A send that ended before its answer was whole. */
+/** A send that ended before its answer was complete. */
 struct InterruptedSend {
-	RequestFingerprint fingerprint;     ///< The request.
-	std::string request;                ///< Id of this try, for logs.
-	RunStage stage = RunStage::Waiting; ///< How far it had come.
+	RequestFingerprint fingerprint;
+	std::string request;                ///< Id of this attempt, for logs.
+	RunStage stage = RunStage::Waiting; ///< Progress of the request at the target.
 };
 
-/** Target that broke a send off. */
+/** The target of an interrupted send. */
 struct ProbedTarget {
-	TargetIncarnation incarnation; ///< Which life of which target.
-	Endpoint address;              ///< Where it was.
-	std::string path;              ///< What it answers without doing work.
+	TargetIncarnation incarnation;
+	Endpoint address;
+	std::string path; ///< Path for the liveness probe, which causes no work.
 };
 
-/** What was found out about a target that broke sends off. */
+/** Result of checking a target that interrupted sends. */
 struct CrashCheck {
-	ProbedTarget target;                  ///< Target.
-	std::optional<ProbeResult> sign;      ///< What came of asking it; nothing if it stayed silent.
-	std::vector<InterruptedSend> sends;   ///< Sends that it broke off and that may have ended it.
-	std::vector<InterruptedSend> cleared; ///< Sends that it broke off and that have not ended it: others had begun there.
-	Duration took{0};                     ///< Time from the first of them to the finding.
-
-	/** @return Whether it has ended: a target that stays silent may as well be cut off, or frozen. */
-	bool HasCrashed() const { return this->sign == ProbeResult::Refused || this->sign == ProbeResult::OtherIncarnation; }
+	ProbedTarget target;
+	std::optional<ProbeResult> result;    ///< Result of the liveness probe; nothing if it timed out.
+	std::vector<InterruptedSend> sends;   ///< Interrupted sends that may have crashed the target.
+	std::vector<InterruptedSend> cleared; ///< Interrupted sends that were still waiting when others had started, and so did not crash it.
+	Duration took{0};                     ///< Time from the first interrupted send to the result.
+
+	/** @return Whether the target has crashed; one that does not answer may just be unreachable or suspended. */
+	bool HasCrashed() const { return this->result == ProbeResult::Refused || this->result == ProbeResult::OtherIncarnation; }
 };
 
-/** Asks each target that breaks a send off for a sign of life, once for all sends that it breaks off together. */
+/** Sends a liveness probe to each target that interrupts a send, one for all its interrupted sends. */
 class CrashWatch {
 public:
 	using Handler = std::function<void(const CrashCheck &)>;
 
-	/** @param cancelled_window Time for which a send that was taken back may still end its target. */
-	CrashWatch(HttpUpstream &upstream, Duration limit, Duration cancelled_window, Handler handler)
-	    : upstream(upstream), limit(limit), cancelled_window(cancelled_window), handler(std::move(handler))
+	/** @param cancelled_window Time for which a cancelled send may still be the cause of a crash. */
+	CrashWatch(HttpUpstream &upstream, Duration timeout, Duration cancelled_window, Handler handler)
+	    : upstream(upstream), timeout(timeout), cancelled_window(cancelled_window), handler(std::move(handler))
 	{
 	}
 
-	/** \a target broke \a send off. @return Whether it counts as ended under it until it has answered. */
+	/** \a target interrupted \a send. @return Whether this counts as a crash under it until the probe has answered. */
 	bool OnSendInterrupted(const ProbedTarget &target, InterruptedSend send, TimePoint now);
 
 	/**
-	 * \a send was taken back from the life \a incarnation of a target, as its caller left: should it be found to have ended shortly after,
-	 * this may be what ended it.
+	 * \a send to the target incarnation \a incarnation was cancelled, as its caller disconnected; it becomes a suspect if the target soon
+	 * turns out to have crashed.
 	 */
 	void OnSendCancelled(const std::string &incarnation, InterruptedSend send, TimePoint now);
 
-	/** The life \a incarnation of a target has ended, as another one is listed or answers in its place. */
+	/** The target incarnation \a incarnation has terminated, as another one is listed or answers at its address. */
 	void OnOtherIncarnation(const std::string &incarnation, TimePoint now);
 
-	/** Time has passed; to be called some times a second. */
+	/** Time out and repeat probes; to be called several times a second. */
 	void OnTick(TimePoint now);
 
 private:
-	/** A check under way. */
+	/** A check in progress. */
 	struct PendingCheck {
-		CrashCheck check;    ///< What is known of it.
-		TimePoint begun;     ///< When it began.
-		uint64_t call = 0;   ///< Call under way; 0 while it is to be asked again.
-		uint32_t probes = 0; ///< Times that it was asked.
-		uint64_t token = 0;  ///< Tells its answer from that of an earlier check of the same target.
+		CrashCheck check;
+		TimePoint started_at; ///< Time of the first interrupted send.
+		uint64_t call = 0;    ///< Probe in progress; 0 if it is to be repeated.
+		uint32_t probes = 0;  ///< Probes sent.
+		uint64_t token = 0;   ///< Distinguishes its answer from that of an earlier check of the same target.
 	};
 
-	/** A send that was taken back. */
+	/** A cancelled send. */
 	struct CancelledSend {
-		std::string incarnation; ///< Where it was.
-		InterruptedSend send;    ///< Send.
-		TimePoint at;            ///< When.
+		std::string incarnation; ///< Target incarnation.
+		InterruptedSend send;
+		TimePoint at; ///< Time of the cancellation.
 	};
 
+	/** @return Whether a send to \a incarnation was recently cancelled. */
 	bool HasCancelledSend(const std::string &incarnation) const;
+	/** Add the recently cancelled sends to the target of \a check to its suspects. */
 	void AddCancelledSends(CrashCheck &check);
+	/** Send a liveness probe to the target \a name. */
 	void SendProbe(const std::string &name, PendingCheck &check);
-	void OnProbeResult(const std::string &name, uint64_t token, ProbeResult sign);
+	/** Conclude the check, or repeat the probe at the next tick. */
+	void OnProbeResult(const std::string &name, uint64_t token, ProbeResult result);
+	/** Sort out the suspects of a finished check, and report it. */
 	void Conclude(const std::string &name, TimePoint now);
 
-	HttpUpstream &upstream;                      ///< Calls to targets.
-	Duration limit;                              ///< Longest wait for a sign of life.
-	Duration cancelled_window;                   ///< Time for which a send that was taken back may end its target.
-	std::deque<CancelledSend> cancelled_sends;   ///< Sends taken back lately, oldest first.
-	Handler handler;                             ///< Gets what was found out.
-	std::map<std::string, PendingCheck> pending; ///< Checks under way by target.
-	uint64_t next_token = 1;                     ///< Number of the next check.
+	HttpUpstream &upstream;
+	Duration timeout;                          ///< Timeout of the probe.
+	Duration cancelled_window;                 ///< Time for which a cancelled send may be the cause of a crash.
+	std::deque<CancelledSend> cancelled_sends; ///< Recently cancelled sends, oldest first.
+	Handler handler;
+	std::map<std::string, PendingCheck> pending; ///< Checks in progress by target incarnation.
+	uint64_t next_token = 1;
 };
 
 } // namespace cottonspool
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway.cpp One instance on the platform: its life, its requests. */
+/** @file gateway.cpp Start and stop of an instance, admission of requests, and its regular tick. */
 
 #include "gateway/gateway.h"
 #include "core/hash_func.h"
@@ -14,22 +14,22 @@
 
 namespace cottonspool {
 
-static constexpr Duration SETTINGS_CHECK_INTERVAL = std::chrono::seconds(1);      ///< Time between looks at the settings file.
-static constexpr Duration NOT_READY_RETRY_AFTER = std::chrono::milliseconds(400); ///< When to come back while no configuration is known.
-static constexpr Duration NO_HOME_RETRY_AFTER = std::chrono::seconds(2); ///< When to come back while the homes of a request have no hall:
-                                                                         ///< only another configuration changes that.
-static constexpr Duration STOPPING_RETRY_AFTER =
-        std::chrono::milliseconds(50); ///< When to come back, to another instance, while this one stops.
-static constexpr Duration MAX_TIMEOUT_WHILE_STOPPING =
-        std::chrono::milliseconds(5000);     ///< Time limit above which a new request is not begun while stopping.
+static constexpr Duration SETTINGS_CHECK_INTERVAL = std::chrono::seconds(1);
+static constexpr Duration NOT_READY_RETRY_AFTER = std::chrono::milliseconds(400); ///< Retry-After while no configuration is known.
+/** Retry-After while no hall lies in the home regions of a request; that needs another configuration. */
+static constexpr Duration NO_HOME_RETRY_AFTER = std::chrono::seconds(2);
+/** Retry-After while this instance stops; other instances take requests at once. */
+static constexpr Duration STOPPING_RETRY_AFTER = std::chrono::milliseconds(50);
+/** Requests with a longer timeout are rejected while this instance stops. */
+static constexpr Duration MAX_TIMEOUT_WHILE_STOPPING = std::chrono::milliseconds(5000);
 static constexpr size_t ACCOUNT_SERIES = 64; ///< Client accounts with metrics of their own.
 
-/** The tick's timer. */
+/** Timer of the ticks, hidden from users of the header. */
 struct Gateway::Timer {
-	uv_timer_t timer{}; ///< libuv's timer.
+	uv_timer_t timer{};
 };
 
-/** @return A seed that differs between instances and between starts of one, and that a replay of a recorded day repeats. */
+/** @return A seed that differs between instances and between starts, but is the same in each replay on a simulated clock. */
 static uint64_t RandomSeed(const std::string &name)
 {
 	return HashText(name, static_cast<uint64_t>(MonotonicNow().time_since_epoch().count()));
@@ -58,7 +58,7 @@
 	                    this->OnCrashRecords(added, removed, at);
                     }),
       peers(loop, this->store, this->peer_load, this->settings.name, this->settings.hall, limits.exchange,
-            [this](const ReportUpdate &news) { this->OnPeerReport(news); }),
+            [this](const ReportUpdate &update) { this->OnPeerReport(update); }),
       front(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleRequest(exchange); }),
       readiness(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleReady(exchange); }),
       metrics_front(loop, [this](const std::shared_ptr<FrontExchange> &exchange) { this->HandleMetrics(exchange); }),
@@ -75,7 +75,7 @@
 	BOOST_OUTCOME_TRY(front_port, this->front.Listen(this->settings.front));
 	BOOST_OUTCOME_TRY(ready_port, this->readiness.Listen(this->settings.ready));
 	std::string metrics_at;
-	// The instances' own ports: metrics on the first one, peers on the next; 0 takes any free one.
+	// The first internal port serves metrics, the next one peers; port 0 takes any free one.
 	if (this->settings.first_port < this->settings.last_port) {
 		bool any = this->settings.first_port == 0;
 		Endpoint metrics_endpoint{this->settings.ip, this->settings.first_port};
@@ -240,7 +240,7 @@
 	     {"body_bytes", std::to_string(exchange->body.size())},
 	     {"limit_ms", FormatMilliseconds(request.response_deadline - request.spec.arrived)},
 	     {"configuration", std::to_string(this->routes.Configuration().version)}});
-	this->call_meter.OnCall(request.pool, request.spec.arrived);
+	this->arrivals.OnCall(request.pool, request.spec.arrived);
 	CallId id = request.spec.id;
 	std::shared_ptr<RelayCall> call;
 	if (request.route.kind == RouteType::Stream) {
@@ -261,7 +261,7 @@
 	this->peers.PublishCall(request.spec, request.pool, state.name, generated, at_once);
 }
 
-/** Bit that tells the number of a copy of a run from that of the call itself. */
+/** Marks the number of a run's copy, as opposed to the run itself. */
 static constexpr uint64_t COPY_BIT = 1ULL << 61;
 
 void Gateway::OnCopyStarted(const RelayRequest &request, TargetNumber target)
@@ -287,7 +287,7 @@
 
 void Gateway::Execute(Decisions decisions)
 {
-	this->carrier.Execute(std::move(decisions));
+	this->executor.Execute(std::move(decisions));
 }
 
 void Gateway::OnCallFinished(CallId call)
@@ -298,14 +298,14 @@
 
 void Gateway::CheckSuspension(TimePoint now)
 {
-	Duration still = now - this->last_tick_at;
-	if (this->last_tick_at != TimePoint{} && still >= this->limits.suspend_threshold) this->OnTick();
+	Duration suspended_for = now - this->last_tick_at;
+	if (this->last_tick_at != TimePoint{} && suspended_for >= this->limits.suspend_threshold) this->OnTick();
 }
 
-void Gateway::OnResumed(Duration still)
+void Gateway::OnResumed(Duration suspended_for)
 {
-	Log(LogLevel::Warning, "woke", {{"still_ms", FormatMilliseconds(still)}, {"in_flight", std::to_string(this->calls.size())}});
-	// What was told meanwhile is not here yet: targets may have left, halls been emptied, configurations followed each other.
+	Log(LogLevel::Warning, "woke", {{"still_ms", FormatMilliseconds(suspended_for)}, {"in_flight", std::to_string(this->calls.size())}});
+	// Updates of the time of suspension have not been processed yet.
 	this->configuration_watch.CatchUp();
 	this->target_watch.CatchUp();
 	this->crash_records.Watch().CatchUp();
@@ -352,7 +352,7 @@
 	Result<NodeSettings> read = ParseNodeSettings(text, this->settings_path);
 	this->settings_text = text;
 	if (!read) return Log(LogLevel::Error, "reload-refused", {{"error", FormatError(read.error())}});
-	// Addresses that are listened on stay as they are until the process starts anew.
+	// Addresses of listeners only change with a restart.
 	this->settings.platform_bounds = read.value().platform_bounds;
 	this->settings.halls = read.value().halls;
 	this->placement.SetRegions(this->settings.halls);
--- a/src/gateway/gateway_crashes.cpp
+++ b/src/gateway/gateway_crashes.cpp
@@ -1,14 +1,13 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_crashes.cpp What a gateway does about targets that end under requests. */
+/** @file gateway_crashes.cpp Crashes of targets under requests: checks, records and quarantine. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
 
 namespace cottonspool {
 
-static constexpr Duration CRASH_EXPIRY_INTERVAL =
-        std::chrono::seconds(1); ///< Time between looks for ends that are no longer held against anybody.
+static constexpr Duration CRASH_EXPIRY_INTERVAL = std::chrono::seconds(1); ///< Interval at which expired crash records are removed.
 
 void Gateway::OnSendInterrupted(const RelayRequest &request, TargetNumber number, RunStage stage, TimePoint now)
 {
@@ -16,7 +15,7 @@
 	const Pool *pool = this->routes.FindPool(record.pool);
 	ProbedTarget target{record.incarnation, record.address, REPORT_PATH};
 	if (!record.engine && pool != nullptr) target.path = pool->health_path;
-	// Until the target has answered it counts as ended: a second send of this very request is decided before that.
+	// Counts as a crash until the probe has answered, as a retry of this request may be decided before that.
 	bool suspect = this->crash_watch.OnSendInterrupted(target, {request.spec.fingerprint, request.info.attempt, stage}, now);
 	bool added = suspect && this->dispatcher.QuarantineState().Add({request.spec.fingerprint, record.incarnation.Name()}, now);
 	if (added) this->OnQuarantineChanged(now);
@@ -33,15 +32,15 @@
 {
 	TimePoint now = MonotonicNow();
 	for (const InterruptedSend &send : check.sends) {
-		CrashRecord end{send.fingerprint, check.target.incarnation.Name()};
-		bool held = check.HasCrashed() && this->crash_records.Add(end);
-		if (held) this->dispatcher.QuarantineState().Add(end, now);
-		if (!held && !this->crash_records.Holds(end)) this->dispatcher.QuarantineState().Remove(end);
+		CrashRecord crash{send.fingerprint, check.target.incarnation.Name()};
+		bool held = check.HasCrashed() && this->crash_records.Add(crash);
+		if (held) this->dispatcher.QuarantineState().Add(crash, now);
+		if (!held && !this->crash_records.Holds(crash)) this->dispatcher.QuarantineState().Remove(crash);
 		Log(LogLevel::Info, "target-check",
 		    {{"request", send.request},
 		     {"print", FormatFingerprint(send.fingerprint)},
 		     {"target", check.target.incarnation.Name()},
-		     {"sign", check.sign ? ProbeResultName(*check.sign) : "none"},
+		     {"sign", check.result ? ProbeResultName(*check.result) : "none"},
 		     {"ended", check.HasCrashed() ? "yes" : "no"},
 		     {"begun", send.stage == RunStage::Started ? "yes" : "no"},
 		     {"suspects", std::to_string(check.sends.size())},
@@ -49,31 +48,31 @@
 		     {"ms", FormatMilliseconds(check.took)}});
 	}
 	for (const InterruptedSend &send : check.cleared) {
-		CrashRecord end{send.fingerprint, check.target.incarnation.Name()};
-		if (!this->crash_records.Holds(end)) this->dispatcher.QuarantineState().Remove(end);
+		CrashRecord crash{send.fingerprint, check.target.incarnation.Name()};
+		if (!this->crash_records.Holds(crash)) this->dispatcher.QuarantineState().Remove(crash);
 	}
 	this->OnQuarantineChanged(now);
 }
 
 void Gateway::OnCrashRecords(const std::vector<CrashRecord> &added, const std::vector<CrashRecord> &removed, TimePoint now)
 {
-	for (const CrashRecord &end : removed) this->dispatcher.QuarantineState().Remove(end);
-	for (const CrashRecord &end : added) this->dispatcher.QuarantineState().Add(end, now);
+	for (const CrashRecord &crash : removed) this->dispatcher.QuarantineState().Remove(crash);
+	for (const CrashRecord &crash : added) this->dispatcher.QuarantineState().Add(crash, now);
 	this->OnQuarantineChanged(now);
 }
 
 void Gateway::OnQuarantineChanged(TimePoint now)
 {
-	const Quarantine &suspicions = this->dispatcher.QuarantineState();
+	const Quarantine &quarantine = this->dispatcher.QuarantineState();
 	std::set<RequestFingerprint> before = std::move(this->quarantined);
-	std::vector<RequestFingerprint> after = suspicions.Quarantined(now);
+	std::vector<RequestFingerprint> after = quarantine.Quarantined(now);
 	this->quarantined = {after.begin(), after.end()};
 	for (RequestFingerprint fingerprint : after) {
 		if (before.erase(fingerprint) > 0) continue;
 		Log(LogLevel::Warning, "quarantined",
 		    {{"print", FormatFingerprint(fingerprint)},
-		     {"ends", std::to_string(suspicions.CrashesOf(fingerprint).size())},
-		     {"left_ms", FormatMilliseconds(suspicions.RemainingTime(fingerprint, now))}});
+		     {"ends", std::to_string(quarantine.CrashesOf(fingerprint).size())},
+		     {"left_ms", FormatMilliseconds(quarantine.RemainingTime(fingerprint, now))}});
 		std::vector<std::shared_ptr<RelayCall>> same;
 		for (const auto &[id, call] : this->calls) {
 			if (call->Spec().fingerprint == fingerprint) same.push_back(call);
@@ -86,14 +85,16 @@
 
 void Gateway::OnAnsweredSuccessfully(const RelayRequest &request)
 {
-	std::vector<CrashRecord> own = this->dispatcher.QuarantineState().ClearedBySuccess(request.spec.fingerprint);
-	if (own.empty()) return;
-	for (const CrashRecord &end : own) {
-		this->dispatcher.QuarantineState().Remove(end);
-		this->crash_records.Remove(end);
+	std::vector<CrashRecord> cleared = this->dispatcher.QuarantineState().ClearedBySuccess(request.spec.fingerprint);
+	if (cleared.empty()) return;
+	for (const CrashRecord &crash : cleared) {
+		this->dispatcher.QuarantineState().Remove(crash);
+		this->crash_records.Remove(crash);
 	}
 	Log(LogLevel::Info, "suspicion-cleared",
-	    {{"request", request.info.attempt}, {"print", FormatFingerprint(request.spec.fingerprint)}, {"ends", std::to_string(own.size())}});
+	    {{"request", request.info.attempt},
+	     {"print", FormatFingerprint(request.spec.fingerprint)},
+	     {"ends", std::to_string(cleared.size())}});
 	this->OnQuarantineChanged(MonotonicNow());
 }
 
@@ -102,9 +103,9 @@
 	this->crash_records.OnTick(now);
 	if (now - this->crash_records_checked_at < CRASH_EXPIRY_INTERVAL || this->dispatcher.QuarantineState().IsEmpty()) return;
 	this->crash_records_checked_at = now;
-	for (const CrashRecord &end : this->dispatcher.QuarantineState().Expired(now)) {
-		this->dispatcher.QuarantineState().Remove(end);
-		if (this->peers.ReadsReportsOf(CrashKey(end))) this->crash_records.Remove(end);
+	for (const CrashRecord &crash : this->dispatcher.QuarantineState().Expired(now)) {
+		this->dispatcher.QuarantineState().Remove(crash);
+		if (this->peers.ReadsReportsOf(CrashKey(crash))) this->crash_records.Remove(crash);
 	}
 	this->OnQuarantineChanged(now);
 }
--- a/src/gateway/gateway_leases.cpp
+++ b/src/gateway/gateway_leases.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_leases.cpp Shares of targets' limits, and what instances lend each other of them. */
+/** @file gateway_leases.cpp Shares of targets' rate limits, and leases of them between instances. */
 
 #include "core/hash_func.h"
 #include "gateway/gateway.h"
@@ -8,7 +8,7 @@
 
 namespace cottonspool {
 
-static constexpr Duration LIMITS_REFRESH = std::chrono::seconds(1); ///< Time between looks at who shares the limits.
+static constexpr Duration LIMITS_REFRESH = std::chrono::seconds(1); ///< Interval at which the set of sharers is updated.
 
 const std::vector<std::string> &Gateway::SharersOf(const std::string &hall)
 {
@@ -22,16 +22,16 @@
 	return !this->settings.bootstrap && now - this->started_at < LEASE_TERM + window;
 }
 
-RateLimit Gateway::CellRateLimit(TargetNumber number, RateLimit bound) const
+RateLimit Gateway::CellRateLimit(TargetNumber number, RateLimit limit) const
 {
 	const std::string &hall = this->dispatcher.Targets().Get(number).hall;
-	bound.per_second *= this->division.ShareOf(this->records[number.value].pool, hall, this->peers.Cells());
-	return bound;
+	limit.per_second *= this->division.ShareOf(this->records[number.value].pool, hall, this->peers.Cells());
+	return limit;
 }
 
 void Gateway::UpdateLimitShare(TargetNumber number, TimePoint now)
 {
-	// What each instance knows of a limit bounds the sum only if each keeps to a part of it.
+	// Each instance knows only its own requests, so the sum stays below the limit only if each keeps to a share of it.
 	const TargetState &target = this->dispatcher.Targets().Get(number);
 	const TargetRateLimit &limit = target.restrictions.limit;
 	if (!limit.IsActive()) return;
@@ -57,27 +57,27 @@
 void Gateway::RequestLeases(TargetNumber number, TimePoint now)
 {
 	const TargetState &target = this->dispatcher.Targets().Get(number);
-	uint32_t demand = this->call_meter.Recent(this->records[number.value].pool, now);
+	uint32_t demand = this->arrivals.Recent(this->records[number.value].pool, now);
 	if (!target.restrictions.limit.WantsLeases(demand, now)) return;
 	if (this->HasJustStarted(target.restrictions.limit.Share().window, now)) return;
 	const std::vector<std::string> &all = this->SharersOf(target.hall);
 	if (std::find(all.begin(), all.end(), this->settings.name) == all.end()) return;
-	RateLimit bound = this->CellRateLimit(number, target.restrictions.limit.Bound());
-	auto in_span = static_cast<size_t>(std::max(1.0, bound.per_second * Seconds(bound.span)));
-	// Where there are more sharers than requests in a span, only some hold a share.
-	std::vector<std::string> owners = RendezvousChoice(target.name, all, in_span);
+	RateLimit limit = this->CellRateLimit(number, target.restrictions.limit.Bound());
+	auto requests_in_span = static_cast<size_t>(std::max(1.0, limit.per_second * Seconds(limit.span)));
+	// With more sharers than requests in a window, only some hold a share.
+	std::vector<std::string> owners = RendezvousChoice(target.name, all, requests_in_span);
 	std::erase(owners, this->settings.name);
-	for (const LeaseRequest &ask : this->dispatcher.Targets().RequestLeases(number, owners, demand, now))
-		this->peers.RequestLease(ask.owner, {this->settings.name, target.name, ask.number, ask.wanted});
+	for (const LeaseRequest &request : this->dispatcher.Targets().RequestLeases(number, owners, demand, now))
+		this->peers.RequestLease(request.owner, {this->settings.name, target.name, request.number, request.wanted});
 }
 
-uint32_t Gateway::OnLeaseRequest(const LeaseRequestMessage &ask)
+uint32_t Gateway::OnLeaseRequest(const LeaseRequestMessage &request)
 {
 	TimePoint now = MonotonicNow();
-	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(ask.target);
+	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(request.target);
 	if (!number || number->value >= this->records.size()) return 0;
-	uint32_t own = this->call_meter.Recent(this->records[number->value].pool, now);
-	uint32_t granted = this->dispatcher.Targets().Lend(*number, ask.instance, ask.wanted, own, now);
+	uint32_t own = this->arrivals.Recent(this->records[number->value].pool, now);
+	uint32_t granted = this->dispatcher.Targets().Lend(*number, request.instance, request.wanted, own, now);
 	this->metrics.Count("cottonspool_lease_asks_total");
 	return granted;
 }
@@ -89,7 +89,7 @@
 	this->dispatcher.Targets().OnGranted(*number, grant.instance, grant.number, grant.granted);
 	if (grant.granted == 0) return;
 	this->metrics.Count("cottonspool_lease_grants_total");
-	// Calls that wait may go now.
+	// The lease may let waiting calls go.
 	this->Execute(this->dispatcher.OnTick(MonotonicNow()));
 }
 
--- a/src/gateway/gateway_targets.cpp
+++ b/src/gateway/gateway_targets.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_targets.cpp What a gateway learns of targets. */
+/** @file gateway_targets.cpp Targets in use, and their load reports. */
 
 #include "core/hash_func.h"
 #include "gateway/gateway.h"
@@ -11,8 +11,7 @@
 
 namespace cottonspool {
 
-static constexpr double REPORT_JITTER =
-        0.3; ///< Part of the time between reports by which each is moved, so that instances don't ask together.
+static constexpr double REPORT_JITTER = 0.3; ///< Random part of the report interval, so that the instances don't fetch reports in step.
 
 void Gateway::RefreshPeerScope()
 {
@@ -32,7 +31,7 @@
 	for (const auto &[id, target] : this->usable) this->UseTarget(target);
 }
 
-void Gateway::OnTargetRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
+void Gateway::OnTargetRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now)
 {
 	std::vector<TargetRow> decoded;
 	for (const StoredRow &row : rows) {
@@ -41,27 +40,28 @@
 		if (target) {
 			decoded.push_back(std::move(target.value()));
 		} else {
-			// It names no target to use, also if it named one before.
+			// Replaces the target that this row may have named before.
 			decoded.push_back({row.key, std::nullopt});
 			this->ReportUnreadable(row.key, target.error());
 		}
 	}
-	this->OnTargetEvents(all ? this->registry.OnFullList(decoded, now) : this->registry.OnChanges(decoded, now), now);
+	this->OnTargetEvents(is_snapshot ? this->registry.OnFullList(decoded, now) : this->registry.OnChanges(decoded, now), now);
 }
 
 void Gateway::ReportUnreadable(const std::string &key, const Error &error)
 {
-	static constexpr size_t MAX_REMEMBERED = 256; ///< Rows whose fault is remembered: whoever writes more of them is told of no more.
+	/** Unreadable rows whose last error is remembered; errors of further ones are not logged. */
+	static constexpr size_t MAX_REMEMBERED = 256;
 	this->metrics.Count("cottonspool_unreadable_rows_total");
-	std::string &told = this->unreadable[key];
-	if (told == error.message || this->unreadable.size() > MAX_REMEMBERED) return;
-	told = error.message;
+	std::string &last_error = this->unreadable[key];
+	if (last_error == error.message || this->unreadable.size() > MAX_REMEMBERED) return;
+	last_error = error.message;
 	Log(LogLevel::Warning, "target-unreadable", {{"target", key}, {"error", FormatError(error)}});
 }
 
 void Gateway::OnTargetEvents(const std::vector<TargetEvent> &events, TimePoint now)
 {
-	static constexpr size_t MAX_LOGGED_EACH = 64; // A whole list is told in one line.
+	static constexpr size_t MAX_LOGGED_EACH = 64; // Longer lists are logged in one line.
 	bool log_each = events.size() <= MAX_LOGGED_EACH;
 	if (!log_each) Log(LogLevel::Info, "targets-changed", {{"targets", std::to_string(events.size())}, {"source", events.front().source}});
 	for (const TargetEvent &event : events) {
@@ -99,7 +99,7 @@
 	targets.SetServiceCapacity(number, engine ? pool->engine->memory_tokens : listed.slots);
 	if (this->records.size() <= number.value) this->records.resize(number.value + 1);
 	TargetRecord &record = this->records[number.value];
-	// The reader of a new target's reports gets the time to tell its first one.
+	// Gives the instance that fetches reports of a new target the time for the first one.
 	if (record.reported_at == TimePoint{}) record.reported_at = MonotonicNow();
 	record.address = address.value();
 	record.pool = listed.pool;
@@ -132,7 +132,7 @@
 {
 	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(name);
 	if (!number) return;
-	// Connections to a life that has ended may hang, if it ended behind a cut: nothing more comes on them.
+	// Connections to a terminated incarnation may hang behind a network partition and would never end by themselves.
 	for (CallId id : this->dispatcher.CallsAt(*number)) {
 		auto found = this->calls.find(id);
 		std::shared_ptr<RelayCall> call = found == this->calls.end() ? nullptr : found->second;
@@ -152,40 +152,41 @@
 	}
 }
 
-/** @return Whether nothing is known to be at \a target. */
+/** @return Whether no request is known to be at \a target. */
 static bool IsIdle(const TargetState &target)
 {
 	bool used = !target.in_flight.empty() || target.report.running + target.report.waiting > 0;
 	return !used &&
-	       std::all_of(target.hall_loads.begin(), target.hall_loads.end(), [](const auto &told) { return told.second.held.calls == 0; });
+	       std::all_of(target.hall_loads.begin(), target.hall_loads.end(), [](const auto &load) { return load.second.held.calls == 0; });
 }
 
 void Gateway::PollReports(TimePoint now)
 {
-	static constexpr Duration LOOK = std::chrono::seconds(1); // Which halls are looked at also changes with the instances.
-	if (now - this->polled_at >= LOOK) this->RefreshPolledTargets(now);
-	// Reports of idle engines tell nothing new, unless others use them unheard, or say there that they leave.
-	bool asks_idle = this->target_watch.IsUnavailable() || !this->peers.HearsMost();
+	static constexpr Duration POLLED_REFRESH_INTERVAL =
+	        std::chrono::seconds(1); // The halls in scope also change with the set of instances.
+	if (now - this->polled_at >= POLLED_REFRESH_INTERVAL) this->RefreshPolledTargets(now);
+	// Reports of idle engines contain nothing new, unless unknown instances use the engines or only the reports show that they drain.
+	bool polls_idle = this->target_watch.IsUnavailable() || !this->peers.HearsMost();
 	for (TargetNumber number : this->polled_targets) {
 		TargetRecord &record = this->records[number.value];
 		const TargetState &target = this->dispatcher.Targets().Get(number);
-		if (record.report_call != 0 && now >= record.report_timeout) {
+		if (record.report_call != 0 && now >= record.report_deadline) {
 			this->upstream.Cancel(record.report_call);
 			record.report_call = 0;
 		}
-		if (IsIdle(target) && !asks_idle) {
+		if (IsIdle(target) && !polls_idle) {
 			record.idle_at = now;
 			continue;
 		}
 		if (record.report_call != 0 || now < record.next_report) continue;
-		// It wants nothing from this instance: another one reads its reports once it hears none.
+		// The target asked this instance to pause; another one fetches its reports once it misses them.
 		if (now < target.restrictions.paused_until) continue;
-		// One instance reads a target's reports for all; the others read them only when they hear nothing.
-		Duration patience = FromSeconds(Seconds(this->limits.report_poll_interval) * this->limits.report_takeover_periods);
-		TimePoint heard = std::max(record.reported_at, record.idle_at);
-		if (now - heard < patience && !this->peers.ReadsReportsOf(target.name)) {
-			// Whose turn it is changes with the instances that live: looked up again soon, but not at every step.
-			record.next_report = std::min(heard + patience, now + this->limits.report_poll_interval);
+		// One instance fetches a target's reports for all; the others do so only if none arrive.
+		Duration takeover_after = FromSeconds(Seconds(this->limits.report_poll_interval) * this->limits.report_takeover_periods);
+		TimePoint last_report_at = std::max(record.reported_at, record.idle_at);
+		if (now - last_report_at < takeover_after && !this->peers.ReadsReportsOf(target.name)) {
+			// The instance in charge may change, but that need not be checked at every tick.
+			record.next_report = std::min(last_report_at + takeover_after, now + this->limits.report_poll_interval);
 			continue;
 		}
 		this->PollReport(number, now);
@@ -204,30 +205,30 @@
 	const TargetState &target = this->dispatcher.Targets().Get(number);
 	double jitter = std::uniform_real_distribution<double>(1 - REPORT_JITTER, 1 + REPORT_JITTER)(this->random);
 	record.next_report = now + FromSeconds(Seconds(this->ReportInterval(target)) * jitter);
-	record.report_timeout = now + this->limits.report_timeout;
+	record.report_deadline = now + this->limits.report_timeout;
 	record.report_call = this->upstream.Start(MakeReportCall(
 	        record.address, target.name, [this, number](const std::optional<EngineReport> &report) { this->OnReport(number, report); }));
 }
 
-void Gateway::OnReport(TargetNumber number, const std::optional<EngineReport> &told)
+void Gateway::OnReport(TargetNumber number, const std::optional<EngineReport> &fetched)
 {
 	TargetRecord &record = this->records[number.value];
 	record.report_call = 0;
-	if (!told || told->memory_tokens == 0) return;
-	if (record.incarnation.IsOtherIncarnation(told->started_ms)) {
+	if (!fetched || fetched->memory_tokens == 0) return;
+	if (record.incarnation.IsOtherIncarnation(fetched->started_ms)) {
 		TimePoint now = MonotonicNow();
 		return this->OnTargetEvents(this->registry.OnOtherIncarnation(record.incarnation.Name(), now), now);
 	}
 	LoadReport report;
-	report.capacity_tokens = told->memory_tokens;
-	report.used_tokens = told->used_tokens;
-	report.running = told->running;
-	report.waiting = told->waiting;
-	report.waiting_tokens = told->waiting_tokens;
-	report.draining = told->draining && this->limits.use_drain_notice;
+	report.capacity_tokens = fetched->memory_tokens;
+	report.used_tokens = fetched->used_tokens;
+	report.running = fetched->running;
+	report.waiting = fetched->waiting;
+	report.waiting_tokens = fetched->waiting_tokens;
+	report.draining = fetched->draining && this->limits.use_drain_notice;
 	this->LogReport(number, report);
 	this->peers.PublishReport(this->dispatcher.Targets().Get(number).name, report);
-	// A notice that only the report tells leaves little time to move runs: the others hear of it at once.
+	// A drain notice that arrives by report leaves little time for migrations, so the peers get it immediately.
 	if (report.draining) this->peers.Flush();
 	this->ApplyReport(number, std::move(report), this->limits.report_age);
 }
@@ -237,7 +238,7 @@
 	TimePoint now = MonotonicNow();
 	const TargetState &target = this->dispatcher.Targets().Get(number);
 	HeldLoad held = this->dispatcher.Targets().TotalLoadAt(target, now);
-	// What was believed before this report beside what it says: how wrong placing was here.
+	// Shows how far the estimated load was off from the reported one.
 	Log(LogLevel::Info, "report",
 	    {{"target", target.name},
 	     {"hall", target.hall},
@@ -253,17 +254,17 @@
 	     {"leaving", report.draining ? "yes" : "no"}});
 }
 
-void Gateway::OnPeerReport(const ReportUpdate &news)
+void Gateway::OnPeerReport(const ReportUpdate &update)
 {
-	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
-	if (number && number->value < this->records.size()) this->ApplyReport(*number, news.report, this->limits.report_age);
+	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(update.target);
+	if (number && number->value < this->records.size()) this->ApplyReport(*number, update.report, this->limits.report_age);
 }
 
 void Gateway::OnHallLoad(const HallLoadMessage &message)
 {
-	for (const ReportUpdate &news : this->hall_load.OnMessage(message, MonotonicNow())) {
-		std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
-		if (number && number->value < this->records.size()) this->ApplyReport(*number, news.report, this->limits.hall_load_age);
+	for (const ReportUpdate &update : this->hall_load.OnMessage(message, MonotonicNow())) {
+		std::optional<TargetNumber> number = this->dispatcher.Targets().Find(update.target);
+		if (number && number->value < this->records.size()) this->ApplyReport(*number, update.report, this->limits.hall_load_age);
 	}
 }
 
--- a/src/gateway/peer_tables.cpp
+++ b/src/gateway/peer_tables.cpp
@@ -1,6 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_tables.cpp Tables of the store that instances tell each other: changes as they are read, whole ones to those that start. */
+/**
+ * @file peer_tables.cpp Distribution of the store's tables between instances: updates as they are read, snapshots to instances that start.
+ */
 
 #include "gateway/peer_exchange.h"
 #include "metrics/log.h"
@@ -10,19 +12,20 @@
 
 void PeerExchange::PublishTables(TablesMessage message, const std::set<std::string> &except)
 {
-	this->AddParts(message);
+	this->AddShards(message);
 	this->next_answer_at = TimePoint{};
 	std::string bytes = EncodePeerMessage(message);
-	bool has_rows = std::any_of(message.tables.begin(), message.tables.end(), [](const TableUpdate &news) { return !news.rows.empty(); });
+	bool has_rows =
+	        std::any_of(message.tables.begin(), message.tables.end(), [](const TableUpdate &update) { return !update.rows.empty(); });
 	if (has_rows && !this->forward_budget.Take(static_cast<double>(bytes.size() * this->links.OpenLinks()), MonotonicNow())) {
-		// Too much to pass on: a sign of life that is ahead of the others makes each of them read the change itself.
-		for (TableUpdate &news : message.tables) news = {news.table, news.to, news.to, false, true, {}, news.read};
+		// Too many bytes to forward: a heartbeat that advertises the new version makes the receivers read the rows themselves.
+		for (TableUpdate &update : message.tables) update = {update.table, update.to, update.to, false, true, {}, update.read};
 		bytes = EncodePeerMessage(message);
 	}
 	this->links.BroadcastBytes(bytes, except);
 }
 
-std::vector<Reader> PeerExchange::Listed() const
+std::vector<Reader> PeerExchange::ListedInstances() const
 {
 	std::vector<Reader> all{{this->name, this->limits.link_mbps}};
 	for (const std::string &peer : this->directory.Names()) all.push_back({peer, this->directory.Find(peer)->link_mbps});
@@ -31,30 +34,30 @@
 
 TableSource PeerExchange::ChooseTableSource(TimePoint now) const
 {
-	// One that exchanges nothing with others never learns of them.
-	if (this->started == TimePoint{}) return TableSource::Read;
-	Duration since = now - this->started;
+	// Without a listener for peers, other instances never become known.
+	if (this->exchange_started == TimePoint{}) return TableSource::FromStore;
+	Duration since = now - this->exchange_started;
 	if (!this->watch.IsKnown())
-		return since < this->limits.list_timeout || this->limits.bootstrap ? TableSource::Undecided : TableSource::Read;
-	// Who starts with all others sees them come one by one: how many there will be shows when no more do.
-	bool complete = now - this->list_changed >= this->limits.list_settle_time || since >= this->limits.list_max_wait;
+		return since < this->limits.list_timeout || this->limits.bootstrap ? TableSource::Undecided : TableSource::FromStore;
+	// When all instances start together they appear one by one; the list is complete when no more appear.
+	bool complete = now - this->list_changed_at >= this->limits.list_settle_time || since >= this->limits.list_max_wait;
 	if (this->limits.bootstrap && !complete) return TableSource::Undecided;
-	// A list of few targets is read faster than handed over; of a divided fleet's list each would read many times what it needs.
-	return this->Cells() > 1 ? TableSource::Ask : TableSource::Read;
+	// A short list is read faster than transferred. In a system with cells, each instance would read much more than it needs.
+	return this->Cells() > 1 ? TableSource::FromPeers : TableSource::FromStore;
 }
 
 Duration PeerExchange::TableTimeout() const
 {
-	// The first of all is the one that the other halls dial to be told of tables.
-	std::vector<std::string> order = ReaderOrder(FORWARDER_KEY, this->Listed());
-	auto location = std::find(order.begin(), order.end(), this->name) - order.begin();
-	return location == 0 ? Duration(0) : this->limits.table_timeout + this->limits.table_timeout_per_instance * location;
+	// The first instance in this order is the one that other halls connect to for tables.
+	std::vector<std::string> order = ReaderOrder(FORWARDER_KEY, this->ListedInstances());
+	auto position = std::find(order.begin(), order.end(), this->name) - order.begin();
+	return position == 0 ? Duration(0) : this->limits.table_timeout + this->limits.table_timeout_per_instance * position;
 }
 
 std::vector<std::string> PeerExchange::HallOrder() const
 {
 	std::vector<Reader> of_hall{{this->name, this->limits.link_mbps}};
-	for (const Reader &reader : this->Listed()) {
+	for (const Reader &reader : this->ListedInstances()) {
 		const PeerLocation *location = this->directory.Find(reader.name);
 		if (location != nullptr && location->hall == this->hall) of_hall.push_back(reader);
 	}
@@ -67,7 +70,7 @@
 	auto add = [&](const std::string &address) {
 		if (this->links.LinkStateOf(address) == LinkState::Open) candidates.push_back(address);
 	};
-	// The first of a hall has it from another hall, and the others of the hall from it.
+	// The first instance of a hall requests tables from another hall, the rest of the hall from the first one.
 	if (order.front() == this->name) std::for_each(this->forwarders.begin(), this->forwarders.end(), add);
 	for (const std::string &peer : order) {
 		if (peer != this->name) add(this->directory.Find(peer)->address);
@@ -86,10 +89,10 @@
 	if (this->requests_from_halls) this->Dial(now);
 	std::vector<std::string> candidates = this->RequestCandidates(order);
 	if (candidates.empty()) return;
-	// The first in the order is asked as soon as it is linked; the others in turn, as long as nobody has answered.
-	bool again = now >= this->next_tables_request_at;
+	// The first candidate is used as soon as it is connected, the others in turn until one answers.
+	bool retry_due = now >= this->next_tables_request_at;
 	bool first = candidates.front() != this->first_requested;
-	if (!first && !again) return;
+	if (!first && !retry_due) return;
 	if (first) this->first_requested = candidates.front();
 	const std::string &to = first ? candidates.front() : candidates[++this->tables_requests_sent % candidates.size()];
 	this->next_tables_request_at = now + this->limits.table_request_interval;
@@ -97,36 +100,38 @@
 	Log(LogLevel::Info, "tables-asked", {{"tables", std::to_string(wanted.size())}, {"peer", to}});
 }
 
-void PeerExchange::OnTablesRequest(const TablesRequestMessage &ask, const PeerLinks::Reply &reply, TimePoint now)
+void PeerExchange::OnTablesRequest(const TablesRequestMessage &request, const PeerLinks::Reply &reply, TimePoint now)
 {
-	std::erase_if(this->tables_requests, [&](const PendingTablesRequest &each) { return each.ask.instance == ask.instance; });
-	this->tables_requests.push_back({ask, reply, now + this->limits.table_request_ttl});
+	std::erase_if(this->tables_requests, [&](const PendingTablesRequest &each) { return each.request.instance == request.instance; });
+	this->tables_requests.push_back({request, reply, now + this->limits.table_request_ttl});
 	this->next_answer_at = now;
 }
 
 void PeerExchange::AnswerTablesRequests(TimePoint now)
 {
-	static constexpr Duration PAUSE = std::chrono::milliseconds(100); // Many ask while nothing has changed here.
+	// Answering is pointless at each tick, as usually nothing has changed.
+	static constexpr Duration ANSWER_INTERVAL = std::chrono::milliseconds(100);
 	std::erase_if(this->tables_requests, [&](const PendingTablesRequest &each) { return now >= each.until; });
 	if (this->tables_requests.empty() || now < this->next_answer_at) return;
-	this->next_answer_at = now + PAUSE;
+	this->next_answer_at = now + ANSWER_INTERVAL;
 	for (PendingTablesRequest &each : this->tables_requests) this->AnswerTablesRequest(each, now);
-	std::erase_if(this->tables_requests, [](const PendingTablesRequest &each) { return each.ask.tables.empty(); });
+	std::erase_if(this->tables_requests, [](const PendingTablesRequest &each) { return each.request.tables.empty(); });
 }
 
-void PeerExchange::AnswerTablesRequest(PendingTablesRequest &ask, TimePoint now)
+void PeerExchange::AnswerTablesRequest(PendingTablesRequest &request, TimePoint now)
 {
-	// What is known is told at once: who reads one table may wait for another one itself.
-	for (auto table = ask.ask.tables.begin(); table != ask.ask.tables.end();) {
+	// Each table is sent as soon as it is known: the instance that reads one table may wait for another one itself.
+	for (auto table = request.request.tables.begin(); table != request.request.tables.end();) {
 		const std::string *answer = this->TableSnapshot(*table);
-		// Beyond what the link bears the asker turns to another one, which has them by then.
+		// Beyond the budget, the requesting instance turns to another one, which has the tables by then.
 		if (answer == nullptr || !this->snapshot_budget.Take(static_cast<double>(answer->size()), now)) {
 			++table;
 			continue;
 		}
-		ask.reply.Bytes(*answer);
-		Log(LogLevel::Info, "table-told", {{"instance", ask.ask.instance}, {"table", *table}, {"bytes", std::to_string(answer->size())}});
-		table = ask.ask.tables.erase(table);
+		request.reply.Bytes(*answer);
+		Log(LogLevel::Info, "table-told",
+		    {{"instance", request.request.instance}, {"table", *table}, {"bytes", std::to_string(answer->size())}});
+		table = request.request.tables.erase(table);
 	}
 }
 
@@ -137,7 +142,7 @@
 	auto [found, added] = this->encoded_snapshots.try_emplace(table);
 	if (added || found->second.version != *version) {
 		TablesMessage message{this->name, this->hall, true, this->sharing.Snapshot({table}), {}};
-		this->AddParts(message);
+		this->AddShards(message);
 		found->second = {*version, EncodePeerMessage(message)};
 	}
 	return &found->second.bytes;
@@ -145,16 +150,16 @@
 
 bool PeerExchange::HasAllTargets(const TablesMessage &message) const
 {
-	auto tells = [this](const TableUpdate &news) { return news.full && news.table == this->divided_table; };
-	return this->division != nullptr && std::any_of(message.tables.begin(), message.tables.end(), tells);
+	auto is_all_targets = [this](const TableUpdate &update) { return update.full && update.table == this->divided_table; };
+	return this->division != nullptr && std::any_of(message.tables.begin(), message.tables.end(), is_all_targets);
 }
 
-void PeerExchange::AddParts(TablesMessage &message) const
+void PeerExchange::AddShards(TablesMessage &message) const
 {
 	if (this->HasAllTargets(message)) message.shards = this->division->Shards();
 }
 
-void PeerExchange::AdoptParts(const TablesMessage &message)
+void PeerExchange::AdoptShards(const TablesMessage &message)
 {
 	if (!this->HasAllTargets(message) || !this->division->Set(message.shards)) return;
 	Log(LogLevel::Info, "targets-divided", {{"source", message.instance}, {"pools", std::to_string(message.shards.size())}});
@@ -162,8 +167,8 @@
 
 void PeerExchange::OnTables(const TablesMessage &message, TimePoint now)
 {
-	this->AdoptParts(message);
-	for (const TableUpdate &news : message.tables) this->sharing.OnUpdate(message.instance, message.hall, news, now);
+	this->AdoptShards(message);
+	for (const TableUpdate &update : message.tables) this->sharing.OnUpdate(message.instance, message.hall, update, now);
 	this->next_answer_at = now;
 	if (!this->sharing.ShouldForward(message.hall, message.forwarded)) return;
 	TablesMessage forwarded = message;
--- a/src/gateway/relay_call.cpp
+++ b/src/gateway/relay_call.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file relay_call.cpp One caller's request: what plain requests and streams share. */
+/** @file relay_call.cpp One caller's request: the common part of buffered and streamed answers, and the buffered ones. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
@@ -9,9 +9,9 @@
 
 namespace cottonspool {
 
-static constexpr int ROUTE_PRIORITIES = 3;                                 ///< Ranks of routes told apart behind one rank of an account.
-static constexpr int LOWEST_URGENCY = 9;                                   ///< Largest number that stands for an urgency at engines.
-static constexpr Duration MIN_RETRY_AFTER = std::chrono::milliseconds(50); ///< Least time told to come back after.
+static constexpr int ROUTE_PRIORITIES = 3; ///< Priorities of routes that are distinguished within one priority of an account.
+static constexpr int LOWEST_URGENCY = 9;   ///< Largest value of the urgency at engines.
+static constexpr Duration MIN_RETRY_AFTER = std::chrono::milliseconds(50);
 
 RelayCall::RelayCall(Gateway &gateway, std::shared_ptr<FrontExchange> exchange, RelayRequest request)
     : gateway(gateway), exchange(std::move(exchange)), request(std::move(request))
@@ -108,7 +108,7 @@
 
 int RelayCall::Urgency() const
 {
-	// The account's rank goes first; among requests of equal rank the route's own decides.
+	// The account's priority goes first; the route's priority decides between equal accounts.
 	return std::clamp(ROUTE_PRIORITIES * this->request.priority_level + std::min(this->request.route.priority_level, ROUTE_PRIORITIES - 1),
 	                  0, LOWEST_URGENCY);
 }
@@ -145,7 +145,7 @@
 void RelayCall::OnTick(TimePoint now)
 {
 	if (this->concluded || now + this->gateway.limits.answer_margin < this->request.response_deadline) return;
-	// The last moment for an answer: what was sent may have run, what was not has not.
+	// After the deadline, requests in flight may have been executed, waiting ones have not.
 	bool sent = this->target.has_value();
 	if (this->upstream_call != 0) this->gateway.upstream.Cancel(this->upstream_call);
 	this->upstream_call = 0;
@@ -160,9 +160,9 @@
 {
 	if (this->concluded || !this->target || this->upstream_call == 0) return;
 	auto keep = this->shared_from_this();
-	uint64_t ended = this->upstream_call;
-	this->gateway.upstream.Cancel(ended);
-	this->OnEnd(ended, UpstreamEnd::Broken, "its target has ended");
+	uint64_t call = this->upstream_call;
+	this->gateway.upstream.Cancel(call);
+	this->OnEnd(call, UpstreamEnd::Broken, "the target has terminated");
 }
 
 void RelayCall::OnQuarantined()
@@ -216,15 +216,15 @@
 	this->gateway.OnCallFinished(this->request.spec.id);
 }
 
-void RelayCall::FinishSend(SendOutcome end)
+void RelayCall::FinishSend(SendOutcome outcome)
 {
 	if (!this->target) return;
-	if (end == SendOutcome::Lost || end == SendOutcome::Failed) this->outcome_unknown = true;
-	bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected || end == SendOutcome::NotSent;
-	bool ends_here = !not_executed && end != SendOutcome::Lost && end != SendOutcome::Failed;
-	if (!ends_here) this->target.reset();
-	if (!ends_here) this->gateway.OnCallUnassigned(this->request.spec.id);
-	this->gateway.Execute(this->gateway.dispatcher.OnSendEnded(this->request.spec.id, end, MonotonicNow()));
+	if (outcome == SendOutcome::Lost || outcome == SendOutcome::Failed) this->outcome_unknown = true;
+	bool not_executed = outcome == SendOutcome::NotExecuted || outcome == SendOutcome::Rejected || outcome == SendOutcome::NotSent;
+	bool is_final = !not_executed && outcome != SendOutcome::Lost && outcome != SendOutcome::Failed;
+	if (!is_final) this->target.reset();
+	if (!is_final) this->gateway.OnCallUnassigned(this->request.spec.id);
+	this->gateway.Execute(this->gateway.dispatcher.OnSendEnded(this->request.spec.id, outcome, MonotonicNow()));
 }
 
 void RelayCall::OnCallerDisconnected()
@@ -295,10 +295,11 @@
 	}
 	if (info.not_executed) return this->FinishSend(NotExecutedOutcome(info));
 	bool unusable = status / 100 == 2 && !info.stamped;
-	// Only the target's own word says that it has not run the request: its status alone must not promise that to the caller.
-	bool promises = status == 503 || status == 429 || status == 408 || status == 421;
-	if (!unusable && !promises && status < 500) return this->Deliver(this->answer);
-	if (!unusable && !promises) this->kept_answer = this->answer;
+	// Only the target's explicit signal means that the request was not executed. These statuses would claim that to the caller as well,
+	// so they are not forwarded without the signal.
+	bool claims_not_executed = status == 503 || status == 429 || status == 408 || status == 421;
+	if (!unusable && !claims_not_executed && status < 500) return this->Deliver(this->answer);
+	if (!unusable && !claims_not_executed) this->kept_answer = this->answer;
 	this->FinishSend(SendOutcome::Failed);
 	if (this->concluded || this->request.spec.repeatable) return;
 	if (!this->DeliverKeptAnswer()) this->Fail(502, "answer-unusable");
@@ -314,14 +315,14 @@
 	return true;
 }
 
-void BufferedRelay::Deliver(const Answer &whole)
+void BufferedRelay::Deliver(const Answer &complete)
 {
-	this->exchange->Respond(whole.head.status, HeadersForCaller(whole.head.headers), whole.body, whole.head.reason);
+	this->exchange->Respond(complete.head.status, HeadersForCaller(complete.head.headers), complete.body, complete.head.reason);
 	this->gateway.metrics.Observe(Measure::ServiceSeconds, this->request.account, this->request.spec.service_class,
 	                              Seconds(MonotonicNow() - this->request.spec.arrived));
 	this->FinishSend(SendOutcome::Complete);
-	if (whole.head.status / 100 == 2) this->gateway.OnAnsweredSuccessfully(this->request);
-	this->Conclude("answered", whole.head.status);
+	if (complete.head.status / 100 == 2) this->gateway.OnAnsweredSuccessfully(this->request);
+	this->Conclude("answered", complete.head.status);
 }
 
 } // namespace cottonspool
--- a/src/peer/peer_message.cpp
+++ b/src/peer/peer_message.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file peer_message.cpp Messages between instances in CBOR: arrays whose first item tells the kind. */
+/** @file peer_message.cpp Messages between instances in CBOR: arrays whose first item is the kind. */
 
 #include "peer/peer_message.h"
 #include "peer/compressed_message.h"
@@ -25,12 +25,12 @@
 static constexpr int LEASE_GRANT = 11;
 static constexpr int TABLES_REQUEST = 12;
 
-/** @return The whole number in \a item; throws where there is none or it is out of range: converting another number would be undefined. */
+/** @return The integer in \a item; throws if it is none or out of range, as its conversion would be undefined. */
 template <typename Number> static Number ReadInteger(const Json &item)
 {
-	if (!item.is_number_integer()) throw std::out_of_range("no whole number");
+	if (!item.is_number_integer()) throw std::out_of_range("not an integer");
 	bool fits = item.is_number_unsigned() ? std::in_range<Number>(item.get<uint64_t>()) : std::in_range<Number>(item.get<int64_t>());
-	if (!fits) throw std::out_of_range("a number out of range");
+	if (!fits) throw std::out_of_range("integer out of range");
 	return item.get<Number>();
 }
 
@@ -40,7 +40,7 @@
 	return Json::array({member.name, member.hall, member.address, member.incarnation, member.counter, member.sequence, member.stopping});
 }
 
-/** @return The member in \a item; throws what the library throws when it is none. */
+/** @return The member in \a item; throws if it is malformed. */
 static MemberInfo ReadMember(const Json &item)
 {
 	MemberInfo member;
@@ -84,14 +84,14 @@
 static Json Write(const LoadMessage &message)
 {
 	Json calls = Json::array();
-	for (const CallUpdate &news : message.calls) {
-		calls.push_back(Json::array({static_cast<int>(news.kind), news.call, news.target, news.prompt_tokens, news.generated,
-		                             news.max_tokens, news.pool, static_cast<int>(news.service_class)}));
+	for (const CallUpdate &update : message.calls) {
+		calls.push_back(Json::array({static_cast<int>(update.kind), update.call, update.target, update.prompt_tokens, update.generated,
+		                             update.max_tokens, update.pool, static_cast<int>(update.service_class)}));
 	}
 	Json reports = Json::array();
-	for (const ReportUpdate &news : message.reports) {
-		reports.push_back(Json::array({news.target, news.report.capacity_tokens, news.report.used_tokens, news.report.running,
-		                               news.report.waiting, news.report.waiting_tokens, news.report.draining}));
+	for (const ReportUpdate &update : message.reports) {
+		reports.push_back(Json::array({update.target, update.report.capacity_tokens, update.report.used_tokens, update.report.running,
+		                               update.report.waiting, update.report.waiting_tokens, update.report.draining}));
 	}
 	return Json::array({LOAD, message.instance, message.incarnation, message.full, calls, reports});
 }
@@ -99,12 +99,12 @@
 static Json Write(const TablesMessage &message)
 {
 	Json tables = Json::array();
-	for (const TableUpdate &news : message.tables) {
+	for (const TableUpdate &update : message.tables) {
 		Json rows = Json::array();
-		for (const StoredRow &row : news.rows)
+		for (const StoredRow &row : update.rows)
 			rows.push_back(Json::array({row.key, Json::binary({row.value.begin(), row.value.end()}), row.version, row.deleted}));
-		tables.push_back(Json::array({news.table, news.from.number, news.to.number, news.full, news.healthy, rows, news.from.epoch,
-		                              news.to.epoch, news.read.number}));
+		tables.push_back(Json::array({update.table, update.from.number, update.to.number, update.full, update.healthy, rows,
+		                              update.from.epoch, update.to.epoch, update.read.number}));
 	}
 	Json shards = Json::array();
 	for (const PoolShards &each : message.shards) shards.push_back(Json::array({each.pool, each.hall, each.shards}));
@@ -122,7 +122,7 @@
 	                    message.instances, message.cells.cells, message.cells.decided_at.epoch, message.cells.decided_at.number});
 }
 
-/** @return \a sums as one flat array: their names and numbers in turn. */
+/** @return \a sums as one flat array of names and numbers, four items each. */
 static Json WriteSums(const std::vector<TargetLoadSum> &sums)
 {
 	Json flat = Json::array();
@@ -142,14 +142,14 @@
 
 static Json Write(const SignalsMessage &message)
 {
-	Json news = Json::array();
-	for (const TargetSignalUpdate &each : message.news) {
-		bool told = each.limit != SignalState::Unreadable;
-		news.push_back(
-		        Json::array({each.target, each.draining, told, each.limit == SignalState::Present ? Json(each.limit_per_s) : Json(nullptr),
-		                     each.request_age.count()}));
+	Json signals = Json::array();
+	for (const TargetSignalUpdate &each : message.signals) {
+		bool limit_readable = each.limit != SignalState::Unreadable;
+		signals.push_back(
+		        Json::array({each.target, each.draining, limit_readable,
+		                     each.limit == SignalState::Present ? Json(each.limit_per_s) : Json(nullptr), each.request_age.count()}));
 	}
-	return Json::array({SIGNALS, message.instance, message.hall, message.forwarded, news});
+	return Json::array({SIGNALS, message.instance, message.hall, message.forwarded, signals});
 }
 
 static Json Write(const LeaseRequestMessage &message)
@@ -162,23 +162,24 @@
 	return Json::array({LEASE_GRANT, message.instance, message.target, message.number, message.granted});
 }
 
-/** @return What a target has said of itself in \a item; throws what the library throws when it is none. */
+/** @return The signal in \a item; throws if it is malformed. */
 static TargetSignalUpdate ReadSignalUpdate(const Json &item)
 {
-	TargetSignalUpdate news;
-	news.target = item.at(0).get<std::string>();
-	news.draining = item.at(1).get<bool>();
-	bool told = item.at(2).get<bool>();
+	TargetSignalUpdate update;
+	update.target = item.at(0).get<std::string>();
+	update.draining = item.at(1).get<bool>();
+	bool limit_readable = item.at(2).get<bool>();
 	const Json &limit = item.at(3);
-	if (told) news.limit = limit.is_null() ? SignalState::Absent : SignalState::Present;
-	if (news.limit == SignalState::Present) news.limit_per_s = limit.get<double>();
-	if (!(news.limit_per_s >= 0 && news.limit_per_s < std::numeric_limits<double>::infinity())) throw std::out_of_range("no limit");
-	news.request_age = Duration(ReadInteger<int64_t>(item.at(4)));
-	if (news.request_age < Duration(0) || news.request_age > std::chrono::hours(1)) throw std::out_of_range("no age");
-	return news;
+	if (limit_readable) update.limit = limit.is_null() ? SignalState::Absent : SignalState::Present;
+	if (update.limit == SignalState::Present) update.limit_per_s = limit.get<double>();
+	if (!(update.limit_per_s >= 0 && update.limit_per_s < std::numeric_limits<double>::infinity()))
+		throw std::out_of_range("rate limit out of range");
+	update.request_age = Duration(ReadInteger<int64_t>(item.at(4)));
+	if (update.request_age < Duration(0) || update.request_age > std::chrono::hours(1)) throw std::out_of_range("age out of range");
+	return update;
 }
 
-/** @return The sums in \a flat; throws what the library throws when it is none. */
+/** @return The sums in \a flat; throws if they are malformed. */
 static std::vector<TargetLoadSum> ReadSums(const Json &flat)
 {
 	std::vector<TargetLoadSum> sums;
@@ -189,55 +190,55 @@
 	return sums;
 }
 
-/** @return The news of a table in \a item; throws what the library throws when it is none. */
+/** @return The update of a table in \a item; throws if it is malformed. */
 static TableUpdate ReadTableUpdate(const Json &item)
 {
-	TableUpdate news;
-	news.table = item.at(0).get<std::string>();
-	// An instance of an older release tells no eras.
-	bool with_eras = item.size() > 6;
-	news.from = {with_eras ? ReadInteger<uint64_t>(item.at(6)) : 0, ReadInteger<uint64_t>(item.at(1))};
-	news.to = {with_eras ? ReadInteger<uint64_t>(item.at(7)) : 0, ReadInteger<uint64_t>(item.at(2))};
-	news.read = {news.to.epoch, item.size() > 8 ? ReadInteger<uint64_t>(item.at(8)) : news.to.number};
-	news.full = item.at(3).get<bool>();
-	news.healthy = item.at(4).get<bool>();
+	TableUpdate update;
+	update.table = item.at(0).get<std::string>();
+	// Instances of older releases send no epochs.
+	bool has_epochs = item.size() > 6;
+	update.from = {has_epochs ? ReadInteger<uint64_t>(item.at(6)) : 0, ReadInteger<uint64_t>(item.at(1))};
+	update.to = {has_epochs ? ReadInteger<uint64_t>(item.at(7)) : 0, ReadInteger<uint64_t>(item.at(2))};
+	update.read = {update.to.epoch, item.size() > 8 ? ReadInteger<uint64_t>(item.at(8)) : update.to.number};
+	update.full = item.at(3).get<bool>();
+	update.healthy = item.at(4).get<bool>();
 	for (const Json &row : item.at(5)) {
 		const Json::binary_t &value = row.at(1).get_binary();
-		news.rows.push_back({row.at(0).get<std::string>(), std::string(value.begin(), value.end()), ReadInteger<uint64_t>(row.at(2)),
-		                     row.at(3).get<bool>()});
+		update.rows.push_back({row.at(0).get<std::string>(), std::string(value.begin(), value.end()), ReadInteger<uint64_t>(row.at(2)),
+		                       row.at(3).get<bool>()});
 	}
-	return news;
+	return update;
 }
 
-/** @return The news of a call in \a item; throws what the library throws when it is none. */
+/** @return The update of a call in \a item; throws if it is malformed. */
 static CallUpdate ReadCallUpdate(const Json &item)
 {
-	CallUpdate news;
-	news.kind = static_cast<CallUpdate::Kind>(ReadInteger<int>(item.at(0)));
-	news.call = ReadInteger<uint64_t>(item.at(1));
-	news.target = item.at(2).get<std::string>();
-	news.prompt_tokens = ReadInteger<uint32_t>(item.at(3));
-	news.generated = ReadInteger<uint32_t>(item.at(4));
-	news.max_tokens = ReadInteger<uint32_t>(item.at(5));
-	news.pool = item.at(6).get<std::string>();
+	CallUpdate update;
+	update.kind = static_cast<CallUpdate::Kind>(ReadInteger<int>(item.at(0)));
+	update.call = ReadInteger<uint64_t>(item.at(1));
+	update.target = item.at(2).get<std::string>();
+	update.prompt_tokens = ReadInteger<uint32_t>(item.at(3));
+	update.generated = ReadInteger<uint32_t>(item.at(4));
+	update.max_tokens = ReadInteger<uint32_t>(item.at(5));
+	update.pool = item.at(6).get<std::string>();
 	int service_class = ReadInteger<int>(item.at(7));
-	if (service_class < 0 || service_class >= static_cast<int>(SERVICE_CLASS_COUNT)) throw std::out_of_range("unknown class");
-	news.service_class = static_cast<ServiceClass>(service_class);
-	return news;
+	if (service_class < 0 || service_class >= static_cast<int>(SERVICE_CLASS_COUNT)) throw std::out_of_range("unknown service class");
+	update.service_class = static_cast<ServiceClass>(service_class);
+	return update;
 }
 
-/** @return The report in \a item; throws what the library throws when it is none. */
+/** @return The report in \a item; throws if it is malformed. */
 static ReportUpdate ReadReportUpdate(const Json &item)
 {
-	ReportUpdate news;
-	news.target = item.at(0).get<std::string>();
-	news.report.capacity_tokens = ReadInteger<uint64_t>(item.at(1));
-	news.report.used_tokens = ReadInteger<uint64_t>(item.at(2));
-	news.report.running = ReadInteger<uint32_t>(item.at(3));
-	news.report.waiting = ReadInteger<uint32_t>(item.at(4));
-	news.report.waiting_tokens = ReadInteger<uint64_t>(item.at(5));
-	news.report.draining = item.at(6).get<bool>();
-	return news;
+	ReportUpdate update;
+	update.target = item.at(0).get<std::string>();
+	update.report.capacity_tokens = ReadInteger<uint64_t>(item.at(1));
+	update.report.used_tokens = ReadInteger<uint64_t>(item.at(2));
+	update.report.running = ReadInteger<uint32_t>(item.at(3));
+	update.report.waiting = ReadInteger<uint32_t>(item.at(4));
+	update.report.waiting_tokens = ReadInteger<uint64_t>(item.at(5));
+	update.report.draining = item.at(6).get<bool>();
+	return update;
 }
 
 std::string EncodePeerMessage(const PeerMessage &message)
@@ -246,7 +247,7 @@
 	return CompressMessage(std::string(bytes.begin(), bytes.end()));
 }
 
-/** @return The message in \a array; throws what the library throws when it is none. */
+/** @return The message in \a array; throws if it is malformed. */
 static PeerMessage Read(const Json &array)
 {
 	switch (ReadInteger<int>(array.at(0))) {
@@ -279,7 +280,7 @@
 		message.hall = array.at(2).get<std::string>();
 		message.forwarded = array.at(3).get<bool>();
 		for (const Json &item : array.at(4)) message.tables.push_back(ReadTableUpdate(item));
-		// An instance of an older release divides nothing.
+		// Instances of older releases don't divide targets.
 		if (array.size() <= 5) return message;
 		for (const Json &item : array.at(5))
 			message.shards.push_back({item.at(0).get<std::string>(), item.at(1).get<std::string>(), ReadInteger<uint32_t>(item.at(2))});
@@ -288,7 +289,7 @@
 	case PRESENCE: {
 		PeerLocation location{array.at(2).get<std::string>(), array.at(3).get<std::string>(), array.at(4).get<double>()};
 		PresenceMessage message{array.at(1).get<std::string>(), std::move(location), ReadInteger<uint32_t>(array.at(5)), {}};
-		// An instance of an older release knows no cells.
+		// Instances of older releases don't know cells.
 		if (array.size() > 8)
 			message.cells = {ReadInteger<uint32_t>(array.at(6)), {ReadInteger<uint64_t>(array.at(7)), ReadInteger<uint64_t>(array.at(8))}};
 		return message;
@@ -297,7 +298,7 @@
 		return HallLoadMessage{array.at(1).get<std::string>(), array.at(2).get<bool>(), ReadSums(array.at(3)), ReadSums(array.at(4))};
 	case SIGNALS: {
 		SignalsMessage message{array.at(1).get<std::string>(), array.at(2).get<std::string>(), array.at(3).get<bool>(), {}};
-		for (const Json &item : array.at(4)) message.news.push_back(ReadSignalUpdate(item));
+		for (const Json &item : array.at(4)) message.signals.push_back(ReadSignalUpdate(item));
 		return message;
 	}
 	case LEASE_REQUEST:
@@ -309,7 +310,7 @@
 	case TABLES_REQUEST:
 		return TablesRequestMessage{array.at(1).get<std::string>(), array.at(2).get<std::vector<std::string>>()};
 	default:
-		throw std::out_of_range("unknown kind");
+		throw std::out_of_range("unknown message kind");
 	}
 }
 
@@ -317,7 +318,7 @@
 {
 	if (IsCompressed(bytes)) {
 		BOOST_OUTCOME_TRY(message, DecompressMessage(bytes));
-		if (IsCompressed(message)) return Error{Step::Peer, "message", "compressed twice"};
+		if (IsCompressed(message)) return Error{Step::Peer, "message", "nested compression"};
 		return DecodePeerMessage(message);
 	}
 	try {
--- a/src/tests/crash_watch_test.cpp
+++ b/src/tests/crash_watch_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file crash_watch_test.cpp Whether a target that broke a send off has ended. */
+/** @file crash_watch_test.cpp Detection of crashes of targets that interrupted a send. */
 
 #include "gateway/crash_watch.h"
 #include <doctest/doctest.h>
@@ -11,17 +11,17 @@
 
 namespace {
 
-/** What a target does with the connections that it takes. */
-enum class Breaking : uint8_t {
-	AsItEnds, ///< It breaks the first one off once it was asked something, and takes no more.
-	Asked,    ///< It breaks each off once it was asked something.
-	AtOnce,   ///< It breaks each off as it comes, like one that has as many as it bears.
+/** When a target resets the connections that it accepts. */
+enum class ResetTiming : uint8_t {
+	Terminating,  ///< After the first request, and it accepts no further connection.
+	AfterRequest, ///< After each request.
+	OnAccept,     ///< At once, like a target at its connection limit.
 };
 
-/** A target that breaks connections off. */
-class BreakingTarget {
+/** A target that resets connections. */
+class ResettingTarget {
 public:
-	BreakingTarget(uv_loop_t *loop, Breaking how) : how(how)
+	ResettingTarget(uv_loop_t *loop, ResetTiming timing) : timing(timing)
 	{
 		uv_tcp_init(loop, &this->listener);
 		this->listener.data = this;
@@ -34,26 +34,26 @@
 		this->port = ntohs(at.sin_port);
 	}
 
-	/** Take no further connection. */
+	/** Accept no further connection. */
 	void Close()
 	{
 		if (uv_is_closing(reinterpret_cast<uv_handle_t *>(&this->listener)) == 0)
 			uv_close(reinterpret_cast<uv_handle_t *>(&this->listener), nullptr);
 	}
 
-	uint16_t port = 0;   ///< Its port.
-	int connections = 0; ///< Connections taken.
+	uint16_t port = 0;
+	int connections = 0; ///< Connections accepted.
 
 private:
 	static void OnConnection(uv_stream_t *listener, int)
 	{
-		auto *self = static_cast<BreakingTarget *>(listener->data);
+		auto *self = static_cast<ResettingTarget *>(listener->data);
 		self->connections++;
 		auto *connection = new uv_tcp_t;
 		uv_tcp_init(listener->loop, connection);
 		uv_accept(listener, reinterpret_cast<uv_stream_t *>(connection));
-		if (self->how == Breaking::AtOnce) return Reset(connection);
-		// What it is asked is read before it breaks the connection: whoever asked has sent it all.
+		if (self->timing == ResetTiming::OnAccept) return Reset(connection);
+		// The request is read before the reset, so that the client has sent it completely.
 		uv_read_start(
 		        reinterpret_cast<uv_stream_t *>(connection),
 		        [](uv_handle_t *, size_t size, uv_buf_t *buffer) { *buffer = uv_buf_init(new char[size], static_cast<unsigned>(size)); },
@@ -61,7 +61,7 @@
 			        delete[] buffer->base;
 			        Reset(reinterpret_cast<uv_tcp_t *>(stream));
 		        });
-		if (self->how == Breaking::AsItEnds) self->Close();
+		if (self->timing == ResetTiming::Terminating) self->Close();
 	}
 
 	static void Reset(uv_tcp_t *connection)
@@ -69,22 +69,21 @@
 		uv_tcp_close_reset(connection, [](uv_handle_t *handle) { delete reinterpret_cast<uv_tcp_t *>(handle); });
 	}
 
-	Breaking how;        ///< What it does.
-	uv_tcp_t listener{}; ///< Listening socket.
+	ResetTiming timing;
+	uv_tcp_t listener{};
 };
 
 } // namespace
 
-// A request that ends the engines it runs on reached four of them instead of three: the first engine's process still took the connection
-// on which it was asked for a sign of life, and broke it 0.3 ms later, so its end was held against nobody. Seen in one of six plays.
-TEST_CASE("Ends - a target that breaks the sign of life off as it ends has ended; one that goes on taking connections has not")
+// Guards against missing a crash because the terminating process still accepted the probe's connection and then reset it.
+TEST_CASE("Crash check - a target that resets the probe as it terminates has crashed; one that keeps accepting connections has not")
 {
-	for (Breaking how : {Breaking::AsItEnds, Breaking::Asked, Breaking::AtOnce}) {
-		bool ends = how == Breaking::AsItEnds;
+	for (ResetTiming timing : {ResetTiming::Terminating, ResetTiming::AfterRequest, ResetTiming::OnAccept}) {
+		bool terminates = timing == ResetTiming::Terminating;
 		uv_loop_t loop;
 		uv_loop_init(&loop);
 		{
-			BreakingTarget target(&loop, how);
+			ResettingTarget target(&loop, timing);
 			HttpUpstream upstream(&loop);
 			std::optional<CrashCheck> found;
 			CrashWatch watch(upstream, std::chrono::milliseconds(300), std::chrono::seconds(2),
@@ -98,8 +97,8 @@
 				if (turn % 25 == 24) watch.OnTick(MonotonicNow());
 			}
 			REQUIRE(found);
-			CHECK(found->HasCrashed() == ends);
-			CHECK(target.connections == (ends ? 1 : 3));
+			CHECK(found->HasCrashed() == terminates);
+			CHECK(target.connections == (terminates ? 1 : 3));
 			target.Close();
 			upstream.OnTick(MonotonicNow());
 		}
--- a/src/tests/feature_switches_test.cpp
+++ b/src/tests/feature_switches_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file feature_switches_test.cpp Mechanisms that can be switched one by one. */
+/** @file feature_switches_test.cpp Features that can be switched off or on one by one. */
 
 #include "gateway/feature_switches.h"
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 TEST_CASE("Switches - names are unique, and several can be switched at once")
 {
 	std::set<std::string> names;
-	for (const FeatureSwitch &rule : FeatureSwitches()) CHECK(names.insert(rule.name).second);
+	for (const FeatureSwitch &feature : FeatureSwitches()) CHECK(names.insert(feature.name).second);
 	GatewayLimits limits;
 	REQUIRE(ApplySwitches("moves,cached-prefix", limits).has_value());
 	CHECK_FALSE(limits.use_migration);
@@ -19,12 +19,12 @@
 	CHECK(limits.router.use_interval);
 }
 
-TEST_CASE("Switches - nothing to switch changes nothing, and a wrong name is told")
+TEST_CASE("Switches - an empty list changes nothing, and an unknown name is an error")
 {
 	GatewayLimits limits;
 	REQUIRE(ApplySwitches("", limits).has_value());
 	CHECK(limits.use_migration);
 	Result<void> wrong = ApplySwitches("moves,no-such", limits);
 	REQUIRE_FALSE(wrong.has_value());
-	CHECK(FormatError(wrong.error()).find("'no-such' is no mechanism") != std::string::npos);
+	CHECK(FormatError(wrong.error()).find("'no-such' is not a known feature") != std::string::npos);
 }
