--- a/src/decision/backup_choice.cpp
+++ b/src/decision/backup_choice.cpp
@@ -1,12 +1,12 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file backup_choice.cpp Which engine keeps a copy of a run. */
+/** @file backup_choice.cpp Choice of the engine that keeps a backup of a run's KV cache. */
 
 #include "decision/backup_choice.h"
 
 namespace cottonspool {
 
-static constexpr double TOKEN_SECONDS = 0.01; ///< Time a token takes where nothing is measured yet.
+static constexpr double TOKEN_SECONDS = 0.01; ///< Time between tokens assumed for a target without measurements, in seconds.
 
 std::optional<TargetNumber> ChooseBackup(const CallSpec &call, TargetNumber holder, const TargetTable &targets, const BackupRules &rules,
                                          TimePoint now)
@@ -24,7 +24,7 @@
 		double copy = (call.prompt_tokens + rest) / static_cast<double>(target.report.capacity_tokens);
 		double pressure = targets.Pressure(target, now) + copy;
 		if (pressure > rules.most_pressure) continue;
-		// A hall may be cut off as a whole: the copy is safer in another one, best in the caller's own.
+		// A whole hall can become unreachable, so other halls are preferred, most of all the caller's preferred one.
 		double score = pressure + (target.hall == source.hall ? rules.same_hall_penalty : 0);
 		if (!call.halls.empty() && target.hall == call.halls.front().hall) score -= rules.same_hall_penalty / 2;
 		if (best && score >= best_score) continue;
--- a/src/decision/backup_choice.h
+++ b/src/decision/backup_choice.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file backup_choice.h Which engine keeps a copy of a run, so that it can go on there when its own engine is lost. */
+/** @file backup_choice.h Choice of the engine that keeps a backup of a run's KV cache, from which the run resumes if its engine fails. */
 
 #pragma once
 
@@ -8,17 +8,17 @@
 
 namespace cottonspool {
 
-/** Rules of that choice. */
+/** Parameters of the choice. */
 struct BackupRules {
-	bool use = false;                ///< Keep copies at all; see docs/design/decisions.md for why not.
-	double most_pressure = 0.62;     ///< Memory planned to be filled at an engine, with the copy, up to which it takes one.
-	double same_hall_penalty = 0.25; ///< Pressure that an engine in another hall than the run's may be worse by.
-	Duration least_rest = std::chrono::milliseconds(1000); ///< Runs expected to end sooner are not worth a copy.
+	bool use = false;                ///< Whether backups are made at all; docs/design/decisions.md explains why they are off by default.
+	double most_pressure = 0.62;     ///< Highest memory pressure, including the backup, of an engine that gets one.
+	double same_hall_penalty = 0.25; ///< Pressure added to the score of engines in the run's own hall.
+	Duration least_rest = std::chrono::milliseconds(1000); ///< Runs with a shorter expected remaining time get no backup.
 };
 
 /**
- * Choose the engine that keeps a copy of the run of \a call at \a holder.
- * @return Nothing when no engine has memory to spare, or the run is not worth it.
+ * Choose the engine that keeps a backup of the run of \a call, which \a holder executes.
+ * @return Nothing if backups are off, the run is about to end, or no engine has enough free memory.
  */
 std::optional<TargetNumber> ChooseBackup(const CallSpec &call, TargetNumber holder, const TargetTable &targets, const BackupRules &rules,
                                          TimePoint now);
--- a/src/decision/bound_type.h
+++ b/src/decision/bound_type.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file bound_type.h Why a target gets no request, and until when. */
+/** @file bound_type.h Restrictions that keep requests from a target. */
 
 #pragma once
 
@@ -11,38 +11,38 @@
 
 namespace cottonspool {
 
-/** Why a target gets no request. Where several reasons hold, the one named first is told. */
+/** Why a target must not get a request. If several restrictions apply, the first one in this order is reported. */
 enum class Bound : uint8_t {
-	None,      ///< It may get one.
-	OtherPool, ///< It does not answer for the model or service.
-	OtherHall, ///< The request may not run in its hall.
-	Unlisted,  ///< The configuration does not name it, or it has not reported yet.
-	Leaving,   ///< It leaves: gets nothing new any more.
-	Emptied,   ///< Its hall is emptied.
-	Ejected,   ///< It failed, or could not be reached.
-	Probed,    ///< One request is on its way to find out whether it is well again.
-	Pause,     ///< It has asked this instance for a pause.
-	Cold,      ///< It is cold, and this instance's share of what it bears is used up.
-	Limit,     ///< This instance's share of the limit that it names is used up.
+	None,      ///< No restriction.
+	OtherPool, ///< The target does not serve the requested model or service.
+	OtherHall, ///< The request must not run in the target's data hall.
+	Unlisted,  ///< The target is not configured, or has not reported yet.
+	Leaving,   ///< The target is draining and accepts no new requests.
+	Emptied,   ///< The target's data hall has been evacuated.
+	Ejected,   ///< The target is ejected after failures or failed connects.
+	Probed,    ///< A probe request is in flight after an ejection.
+	Pause,     ///< The target asked this instance to pause.
+	Cold,      ///< The target is cold and this instance's share of its cold-start rate is used up.
+	Limit,     ///< This instance's share of the target's advertised rate limit is used up.
 };
 constexpr size_t BOUND_COUNT = 11;
 
 /** @return The name of \a bound as written in logs. */
 const char *BoundName(Bound bound);
 
-/** Whether a target may get a request, and until when it may not. */
+/** Result of an admission check: whether a target may get a request, and until when not. */
 struct BoundVerdict {
-	Bound bound = Bound::None;          ///< What keeps the request from it.
-	TimePoint until = TimePoint::max(); ///< When that ends if nothing else happens; max() where time alone does not end it.
+	Bound bound = Bound::None;          ///< The restriction that applies.
+	TimePoint until = TimePoint::max(); ///< When the restriction expires; max() if it does not expire by itself.
 
-	/** @return Whether it may get the request. */
+	/** @return Whether the target may get the request. */
 	bool IsFree() const { return this->bound == Bound::None; }
 };
 
-/** Number of targets for which each bound held. */
+/** Number of targets to which each restriction applies. */
 using BoundCounts = std::array<uint32_t, BOUND_COUNT>;
 
-/** @return \a counts as written in logs: each bound that holds for some targets, with their number. */
+/** @return \a counts as written in logs, for example "pause:2,limit:1"; zero counts are omitted. */
 std::string FormatBounds(const BoundCounts &counts);
 
 } // namespace cottonspool
--- a/src/decision/byte_budget.h
+++ b/src/decision/byte_budget.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file byte_budget.h How many bytes of one kind a link may carry. */
+/** @file byte_budget.h Token bucket that limits the bytes of one kind of traffic on a link. */
 
 #pragma once
 
@@ -9,16 +9,16 @@
 
 namespace cottonspool {
 
-/** Bytes that may be sent: so many a second, of which some seconds' worth may be saved up. */
+/** Token bucket for bytes: refills at a fixed rate up to the bytes of a given time span. */
 class ByteBudget {
 public:
 	/**
-	 * @param per_second Bytes a second.
-	 * @param saved Longest time for which they are saved up.
+	 * @param per_second Refill rate, in bytes per second.
+	 * @param saved Time span whose refill the bucket can hold.
 	 */
 	ByteBudget(double per_second, Duration saved) : per_second(per_second), most(per_second * Seconds(saved)) {}
 
-	/** @return Whether \a bytes may be sent now; they are taken off then. */
+	/** @return Whether \a bytes may be sent now; if so they are deducted. */
 	[[nodiscard]] bool Take(double bytes, TimePoint now)
 	{
 		this->left = std::min(this->most, this->left + this->per_second * Seconds(now - this->looked_at));
@@ -29,10 +29,10 @@
 	}
 
 private:
-	double per_second;   ///< Bytes a second.
-	double most;         ///< Most that are saved up.
-	double left = 0;     ///< What may be sent.
-	TimePoint looked_at; ///< When that was last worked out.
+	double per_second;   ///< Refill rate, in bytes per second.
+	double most;         ///< Capacity of the bucket, in bytes.
+	double left = 0;     ///< Bytes that may be sent now.
+	TimePoint looked_at; ///< Time of the last refill.
 };
 
 } // namespace cottonspool
--- a/src/decision/call_meter.h
+++ b/src/decision/call_meter.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call_meter.h How many calls for a pool came lately. */
+/** @file call_meter.h Counter of recently arrived calls for each pool. */
 
 #pragma once
 
@@ -11,13 +11,13 @@
 
 namespace cottonspool {
 
-/** Counts the calls for each pool over about the span in which a target that names a limit counts what it gets. */
+/** Counts the calls that arrived for each pool within about one rate limit window (LIMIT_SPAN). */
 class CallMeter {
 public:
-	/** A call for \a pool has come. */
+	/** Count a call for \a pool that arrived at \a now. */
 	void OnCall(const std::string &pool, TimePoint now) { this->At(pool, now).present++; }
 
-	/** @return Calls for \a pool in the last two to four seconds. */
+	/** @return Calls for \a pool that arrived within the last two to four seconds. */
 	uint32_t Lately(const std::string &pool, TimePoint now)
 	{
 		const Count &count = this->At(pool, now);
@@ -25,15 +25,16 @@
 	}
 
 private:
-	static constexpr Duration HALF = std::chrono::milliseconds(2100); ///< Half of the span that is counted.
+	static constexpr Duration HALF = std::chrono::milliseconds(2100); ///< Length of each of the two half windows.
 
-	/** Calls for one pool. */
+	/** Calls for one pool, counted in two consecutive half windows. */
 	struct Count {
-		uint32_t present = 0; ///< In the present half.
-		uint32_t before = 0;  ///< In the one before.
-		TimePoint since;      ///< When the present one began.
+		uint32_t present = 0; ///< Calls in the current half window.
+		uint32_t before = 0;  ///< Calls in the previous half window.
+		TimePoint since;      ///< Start of the current half window.
 	};
 
+	/** @return The count of \a pool, after moving on to the half window that contains \a now. */
 	Count &At(const std::string &pool, TimePoint now)
 	{
 		Count &count = this->pools[pool];
@@ -43,7 +44,7 @@
 		return count;
 	}
 
-	std::map<std::string, Count> pools; ///< By pool.
+	std::map<std::string, Count> pools; ///< Counts by name of the pool.
 };
 
 } // namespace cottonspool
--- a/src/decision/call_queue.cpp
+++ b/src/decision/call_queue.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call_queue.cpp Calls that wait at an instance. */
+/** @file call_queue.cpp Queue of waiting calls: start-time fair queueing by class, model and account. */
 
 #include "decision/call_queue.h"
 #include <algorithm>
--- a/src/decision/call_queue.h
+++ b/src/decision/call_queue.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call_queue.h Calls that wait at an instance: by class, then fair by client account; none waits behind another model's. */
+/** @file call_queue.h Queue of waiting calls: classes in strict priority, weighted fair queueing by client account, models independent. */
 
 #pragma once
 
@@ -12,78 +12,82 @@
 
 namespace cottonspool {
 
-/** Bounds of the queue. */
+/** Limits of the queue. */
 struct QueueLimits {
-	size_t max_calls = 20000;            ///< Most calls waiting at one instance.
-	size_t max_calls_per_account = 2000; ///< Most calls of one account waiting for one model.
-	bool fair = true;                    ///< Order by account; false is one queue a class in order of arrival.
+	size_t max_calls = 20000;            ///< Maximum number of waiting calls.
+	size_t max_calls_per_account = 2000; ///< Maximum number of waiting calls of one account for one model in one class.
+	bool fair = true;                    ///< Schedule fairly between accounts; otherwise first come, first served within a class.
 };
 
-/** Waiting calls in the order in which they are to be tried. */
+/**
+ * Waiting calls of one instance. Start-time fair queueing: every (model, account) pair is a flow with a virtual start time, which
+ * advances by the tokens of each dispatched call divided by the account's weight; the flow with the smallest one is served first.
+ */
 class CallQueue {
 public:
 	explicit CallQueue(QueueLimits limits) : limits(limits) {}
 
-	/** Put \a call, expected to cost \a tokens, at the end of its account's line. @return False when a bound is reached. */
+	/** Append \a call, with an expected cost of \a tokens, to its flow. @return False if a limit of the queue is reached. */
 	[[nodiscard]] bool Push(const CallSpec &call, double tokens);
 
-	/** Put a call that was sent in vain back at the head of its account's line; no bound applies. */
+	/** Put a call that is to be retried back at the head of its flow, ignoring the limits. */
 	void PushFront(const CallSpec &call, double tokens);
 
-	/** Take \a call out, wherever it stands. @return Whether it was waiting. */
+	/** Remove \a call. @return Whether it was waiting. */
 	bool Remove(CallId call);
 
 	/**
-	 * Call \a visit with the head of each line, fairest first, at most \a limit of each class and model; a call for which
-	 * it returns true is taken out and its account charged.
-	 * @return Calls taken out.
+	 * Call \a visit with the head of each flow in fair order, with at most \a limit flows of each class and model. A call for which
+	 * \a visit returns true is removed from the queue, and its expected cost is charged to its flow.
+	 * @return Number of calls removed.
 	 */
 	template <typename Visit> size_t ForEachHead(size_t limit, Visit visit);
 
-	/** Take out all calls whose deadline is at or before \a now. */
+	/** Remove and return all calls whose deadline is at or before \a now. */
 	std::vector<CallSpec> TakeExpired(TimePoint now);
 
-	/** @return Tokens expected to go before a new call like \a call: those that wait for the same model. */
+	/** @return Expected cost, in tokens, of the waiting calls for the same model that would be dispatched before a new call like \a call.
+	 */
 	double TokensAhead(const CallSpec &call) const;
 
-	/** Correct by \a tokens what the account of \a call was charged, once the true cost is known. */
+	/** Charge the flow of \a call another \a tokens (may be negative), once the actual cost of the call is known. */
 	void Correct(const CallSpec &call, double tokens);
 
-	/** @return Calls waiting. */
+	/** @return Number of waiting calls. */
 	size_t Size() const { return this->index.size(); }
 
-	/** @return Calls of \a service_class waiting. */
+	/** @return Number of waiting calls of \a service_class. */
 	size_t ClassSize(ServiceClass service_class) const { return this->classes[static_cast<size_t>(service_class)].calls; }
 
 private:
 	/** A waiting call. */
 	struct Waiting {
-		CallSpec call; ///< The call.
-		double tokens; ///< Its expected cost.
+		CallSpec call;
+		double tokens; ///< Expected cost.
 	};
 
-	/** Names the line of an account's calls for a model. */
+	/** Identifies a flow within its class: the model in the upper 32 bits, the account in the lower 32 bits. */
 	using LineKey = uint64_t;
 
-	/** The line of one account's calls for one model in one class. */
+	/** The calls of one account for one model in one class. */
 	struct Line {
-		std::deque<Waiting> calls; ///< In order.
-		double tag = 0;            ///< Virtual start time: tokens charged over weight.
-		double tokens = 0;         ///< Expected cost of all calls in the line.
+		std::deque<Waiting> calls; ///< Waiting calls, by priority and then by arrival.
+		double tag = 0;            ///< Virtual start time.
+		double tokens = 0;         ///< Expected cost of all waiting calls.
 	};
 
-	/** The lines of one model in one class. */
+	/** The flows of one model in one class. */
 	struct ModelLines {
-		std::multimap<double, LineKey> order; ///< Lines with waiting calls by tag.
+		std::multimap<double, LineKey> order; ///< Flows with waiting calls, by virtual start time.
 		double tokens = 0;                    ///< Expected cost of all waiting calls.
 	};
 
-	/** All lines of one class. */
+	/** All flows of one class. */
 	struct ClassLines {
-		std::unordered_map<LineKey, Line> lines; ///< By model and account.
-		std::map<uint32_t, ModelLines> models;   ///< By model.
-		double clock = 0;                        ///< Virtual time: tag of the last line served.
-		size_t calls = 0;                        ///< Waiting calls.
+		std::unordered_map<LineKey, Line> lines; ///< All flows, including idle ones.
+		std::map<uint32_t, ModelLines> models;   ///< Flows with waiting calls, by model.
+		double clock = 0;                        ///< Virtual time: virtual start time of the last served flow.
+		size_t calls = 0;                        ///< Number of waiting calls.
 	};
 
 	static LineKey KeyOf(const QueueLimits &limits, const CallSpec &call)
@@ -94,19 +98,19 @@
 	void Insert(const CallSpec &call, double tokens, bool front);
 	void Unlink(ClassLines &lines, LineKey key);
 	void TakeHead(ClassLines &lines, LineKey key, bool charge);
-	static constexpr size_t MAX_IDLE_LINES = 4096; ///< Empty lines kept for their tags.
+	static constexpr size_t MAX_IDLE_LINES = 4096; ///< Idle flows that are kept so that their virtual start times are not lost.
 
-	QueueLimits limits;                                                               ///< Bounds.
-	std::array<ClassLines, SERVICE_CLASS_COUNT> classes;                              ///< By class.
-	std::unordered_map<CallId, std::pair<ServiceClass, LineKey>, StrongIdHash> index; ///< Where each call waits.
-	std::multimap<TimePoint, CallId> deadlines;                                       ///< Calls by deadline.
+	QueueLimits limits;
+	std::array<ClassLines, SERVICE_CLASS_COUNT> classes;                              ///< Flows by class.
+	std::unordered_map<CallId, std::pair<ServiceClass, LineKey>, StrongIdHash> index; ///< Class and flow of each waiting call.
+	std::multimap<TimePoint, CallId> deadlines;                                       ///< Waiting calls by deadline.
 };
 
 template <typename Visit> size_t CallQueue::ForEachHead(size_t limit, Visit visit)
 {
 	size_t taken = 0;
 	for (ClassLines &lines : this->classes) {
-		// Lines of each model by themselves: those that wait for a model without room do not use up the others' tries.
+		// The limit applies to each model separately, so that an overloaded model does not keep the calls of others from being tried.
 		std::vector<std::pair<double, LineKey>> heads;
 		for (const auto &[model, own] : lines.models) {
 			size_t tried = 0;
--- a/src/decision/decision_carrier.h
+++ b/src/decision/decision_carrier.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file decision_carrier.h Hands decisions to the calls that they are about, in order. */
+/** @file decision_carrier.h Delivers the dispatcher's decisions to the calls they concern, in order. */
 
 #pragma once
 
@@ -12,18 +12,18 @@
 namespace cottonspool {
 
 /**
- * Carries decisions out one after another. What is decided while one of them is carried out waits until it is done, so that
- * no call is entered twice.
+ * Executes decisions one after another. Decisions made during an execution are queued, so that the handlers of a call are never
+ * re-entered.
  * @tparam Call Has OnSend(SendAction) and OnGiveUp(GiveUpAction).
  */
 template <typename Call> class DecisionCarrier {
 public:
 	using Calls = std::unordered_map<CallId, std::shared_ptr<Call>, StrongIdHash>;
 
-	/** Decisions go to those of \a calls that are still there. */
+	/** @param calls The calls that get decisions; decisions for calls no longer in the map are dropped. */
 	explicit DecisionCarrier(const Calls &calls) : calls(calls) {}
 
-	/** Carry out \a decisions, now or behind those that are being carried out. */
+	/** Execute \a decisions now, or after the ones that are being executed. */
 	void Carry(Decisions decisions)
 	{
 		this->waiting.push_back(std::move(decisions));
@@ -43,16 +43,16 @@
 	}
 
 private:
-	/** @return The call \a id, kept alive while it is held; null if it is over. */
+	/** @return The call \a id, or null if it has finished. */
 	std::shared_ptr<Call> Find(CallId id) const
 	{
 		auto found = this->calls.find(id);
 		return found == this->calls.end() ? nullptr : found->second;
 	}
 
-	const Calls &calls;            ///< Calls not yet answered.
-	std::deque<Decisions> waiting; ///< Decisions not yet carried out.
-	bool carrying = false;         ///< Decisions are being carried out.
+	const Calls &calls;            ///< Unfinished calls.
+	std::deque<Decisions> waiting; ///< Decisions that are not executed yet.
+	bool carrying = false;         ///< Whether decisions are being executed.
 };
 
 } // namespace cottonspool
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file dispatcher.cpp The decisions about calls. */
+/** @file dispatcher.cpp Admission, dispatch, retries and rejections of calls. */
 
 #include "decision/dispatcher.h"
 #include "core/hash_func.h"
@@ -10,17 +10,17 @@
 namespace cottonspool {
 
 static constexpr Duration RATE_WINDOW = std::chrono::seconds(1); ///< Window over which the dispatch rate is measured.
-static constexpr double RATE_SMOOTHING = 0.3;                    ///< Weight of the newest window.
-static constexpr Duration SLOW_CHECK = std::chrono::seconds(1);  ///< Time between looks for slow targets.
-static constexpr size_t MAX_ACCOUNT_BUDGETS = 4096;              ///< Account budgets remembered; all are dropped beyond.
+static constexpr double RATE_SMOOTHING = 0.3;                    ///< Weight of the newest window in the dispatch rate.
+static constexpr Duration SLOW_CHECK = std::chrono::seconds(1);  ///< Interval of the check for slow targets.
+static constexpr size_t MAX_ACCOUNT_BUDGETS = 4096;              ///< Number of account budgets above which all are dropped.
 
-/** Pressure by which an engine in another hall must be better for a move: a copy there takes twice as long, and others wait behind it. */
+/** Pressure advantage that an engine in another hall needs to be the target of a migration, as copies between halls are slower. */
 static constexpr double MOVE_OTHER_HALL_PENALTY = 0.5;
 
-/** Time between tokens that is assumed while none was measured, in seconds; from the operators' sheets (7 ms a step and more). */
+/** Time between tokens assumed for a target without measurements, in seconds. */
 static constexpr double USUAL_TOKEN_INTERVAL = 0.01;
 
-/** Engine priority of each class: what is smallest is preempted first. */
+/** Base of the priority that is passed to the engine, by class; the engine preempts the smallest first. */
 static constexpr std::array<int, SERVICE_CLASS_COUNT> CLASS_PRIORITY{200, 100, 0};
 
 Dispatcher::Dispatcher(DispatchLimits limits, std::unique_ptr<Router> router)
@@ -54,13 +54,13 @@
 	auto refused = this->refusals.find(call.model.value);
 	Duration drain = this->Drain(call);
 	uint64_t random = HashText("retry-after", call.id.value);
-	// Nothing helps a request under which targets end but that what they run is mended.
+	// A retry only makes sense once the quarantine is over.
 	if (this->IsQuarantined(call, now)) return std::min<Duration>(this->quarantine.Left(call.print, now), this->limits.retry_after_max);
 	Duration wait = refused == this->refusals.end() ? drain : refused->second.RetryAfter(drain, random, now);
 	return std::clamp(wait, this->limits.retry_after_min, this->limits.retry_after_max);
 }
 
-/** @return Whether a call given up for \a reason was refused for want of room: one that comes back at once meets the same load. */
+/** @return Whether \a reason means that there was not enough capacity. */
 static bool WantsRoom(GiveUpReason reason)
 {
 	return reason == GiveUpReason::DeadlinePassed || reason == GiveUpReason::WaitTooLong || reason == GiveUpReason::QueueFull;
@@ -74,8 +74,7 @@
 	this->calls.erase(call.id);
 }
 
-/** @return When a caller should come back who is refused since no target may get the request for \a wait: spread by \a random, so that
- *          those who were refused together don't all come at the moment when the first target is free again. */
+/** @return Retry-After for a call that no target may get for \a wait, with jitter from \a random so that callers don't return together. */
 static Duration RetryAfterBound(Duration wait, uint64_t random)
 {
 	static constexpr Duration LEAST_SPREAD = std::chrono::milliseconds(300);
@@ -90,7 +89,7 @@
 	TimePoint free_at = this->targets.FreeAt(call, now, &counts);
 	if (free_at <= std::max(now, call.deadline)) return false;
 	this->counters.given_up[static_cast<size_t>(GiveUpReason::AllBound)]++;
-	// Where time alone brings none, what is told is what helps for want of room.
+	// If no restriction expires by itself, the Retry-After for overload is used.
 	bool known = free_at != TimePoint::max();
 	Duration wait = known ? RetryAfterBound(free_at - now, HashText("bound", call.id.value)) : this->RetryAfter(call, now);
 	wait = std::clamp(wait, this->limits.retry_after_min, this->limits.retry_after_max);
@@ -176,9 +175,9 @@
 bool Dispatcher::TrySend(const CallSpec &call, TimePoint now, Decisions &decisions)
 {
 	Tracked &tracked = this->calls.at(call.id);
-	// Time may have jumped since the last tick, which gives up what is late: a machine that was suspended reads what came in first.
+	// After a suspension of the process, events are handled before the tick that rejects expired calls.
 	if (now < tracked.not_before || now > tracked.call.deadline) return false;
-	// Its halls may have changed while it waited.
+	// The tracked copy has the current halls, which may have changed since the call was queued.
 	std::optional<TargetNumber> target = this->router->Choose(tracked.call, this->targets, now);
 	if (!target) return false;
 	tracked.holder = target;
@@ -217,17 +216,17 @@
 {
 	CallSpec &call = tracked.call;
 	if (call.ends_at == TimePoint::max()) return call.deadline;
-	// A call that was sent has been offered: its wait for another target begins anew, within its time.
+	// Each attempt gets the full wait limit again, up to the time at which the answer is due.
 	call.deadline = std::min(call.ends_at, now + (call.deadline - call.arrived));
 	call.arrived = now;
 	call.press_from = now;
 	return call.ends_at;
 }
 
-/** @return What the instance \a own may save up where there is \a share for each, which is less than one: nobody can use a part of one. */
+/** @return Retry burst, 0 or 1, of the instance \a own if the \a share per instance is less than one: a hash of the name decides. */
 static double DrawnShare(double share, std::string_view own)
 {
-	static constexpr double KEPT_BACK = 0.1; // Of as many lots now and then more win than should.
+	static constexpr double KEPT_BACK = 0.1; // Lowers the chance, as by accident more instances than intended can win.
 	static constexpr uint64_t LOTS = 1U << 20;
 	double lot = static_cast<double>(HashText(own) % LOTS) / static_cast<double>(LOTS);
 	return lot < share * (1 - KEPT_BACK) ? 1 : 0;
@@ -302,7 +301,7 @@
 	this->queue.PushFront(tracked.call, this->ExpectedTokens(tracked.call));
 }
 
-/** @return How the target behaved whose send ended with \a end. */
+/** @return The behaviour of the target that the outcome \a end implies. */
 static TargetConduct ConductOf(SendEnd end)
 {
 	if (end == SendEnd::Complete || end == SendEnd::CallerGone) return TargetConduct::Well;
@@ -377,10 +376,10 @@
 	if (this->IsQuarantined(tracked.call, now)) return std::nullopt;
 	CallSpec run = tracked.call;
 	const TargetState &source = this->targets.Get(*tracked.holder);
-	// What the run holds by now is what it needs there from the start.
+	// The new target needs memory for the tokens generated so far as well.
 	auto flight = source.in_flight.find(id);
 	if (flight != source.in_flight.end()) run.prompt_tokens += flight->second.generated;
-	// Memory moves twice as fast inside a data hall: it goes first, whichever hall the caller would prefer.
+	// Copies within a data hall are faster, so the run's own hall is preferred over the caller's preference.
 	for (HallPreference &hall : run.halls) {
 		if (hall.hall == source.hall) std::swap(hall, run.halls.front());
 	}
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file dispatcher.h The decisions about calls: wait, send, send again, refuse. Pure: events and times in, decisions out. */
+/** @file dispatcher.h Decides for each call whether it waits, is sent, retried or rejected. No I/O: events and times in, decisions out. */
 
 #pragma once
 
@@ -15,144 +15,148 @@
 
 /** Settings of a dispatcher. */
 struct DispatchLimits {
-	TargetLimits targets;                                      ///< Admission and health of targets.
-	QueueLimits queue;                                         ///< Waiting calls.
-	RetryLimits retry;                                         ///< Retries caused by one target, and spent for one client account.
-	std::optional<RetryLimits> pool_retry;                     ///< Retries at all targets of one model or service together.
-	uint32_t max_unsent = 6;                                   ///< Most targets tried in a row that could not be reached.
-	LengthEstimateLimits lengths;                              ///< Length estimate.
-	QuarantineLimits quarantine;                               ///< Requests under which targets end.
-	bool refuse_early = true;                                  ///< Give up at once when the expected wait passes the deadline.
-	bool retry_failed = true;                                  ///< Send a repeatable call that failed at a target to another.
-	uint32_t max_attempts = 3;                                 ///< Most sends of one call.
-	size_t heads_tried = 24;                                   ///< Waiting accounts tried per class and event.
-	Duration retry_after_min = std::chrono::milliseconds(500); ///< Least time told to come back after.
-	Duration retry_after_max = std::chrono::seconds(30);       ///< Largest time told to come back after.
+	TargetLimits targets;                  ///< Admission to targets and their health.
+	QueueLimits queue;                     ///< Queue of waiting calls.
+	RetryLimits retry;                     ///< Retry budget of each target and of each client account.
+	std::optional<RetryLimits> pool_retry; ///< Retry budget of each model or service; if set, it replaces the other two.
+	uint32_t max_unsent = 6;               ///< Consecutive unreachable targets after which a call is rejected.
+	LengthEstimateLimits lengths;          ///< Output length estimate.
+	QuarantineLimits quarantine;           ///< Quarantine of requests that crash targets.
+	bool refuse_early = true;              ///< Reject a call at once if its expected wait exceeds its deadline.
+	bool retry_failed = true;              ///< Retry repeatable calls that failed at a target on another one.
+	uint32_t max_attempts = 3;             ///< Maximum number of attempts per call, unless the call sets its own.
+	size_t heads_tried = 24;               ///< Maximum number of flows tried per class, model and pass over the queue.
+	Duration retry_after_min = std::chrono::milliseconds(500); ///< Minimum Retry-After of rejections.
+	Duration retry_after_max = std::chrono::seconds(30);       ///< Maximum Retry-After of rejections.
 };
 
-/** How a send ended. */
+/** Outcome of one attempt to run a call on a target. */
 enum class SendEnd : uint8_t {
-	Complete,     ///< The whole answer came.
-	NotSent,      ///< Certain: no byte has reached a target; does not count as an attempt.
-	NotRun,       ///< Certain: the target has not begun.
-	TurnedAway,   ///< The same, and it has asked for a pause.
-	Failed,       ///< The whole answer came, and it tells a fault of the target.
-	Lost,         ///< In doubt, or the run is lost with nothing delivered.
-	LostAfterUse, ///< Lost after something reached the caller; never sent again.
-	CallerGone,   ///< The caller went away.
+	Complete,     ///< The complete answer was received.
+	NotSent,      ///< No byte reached the target; does not count as an attempt.
+	NotRun,       ///< The target stated that it did not execute the call.
+	TurnedAway,   ///< The target did not execute the call and asked for a pause.
+	Failed,       ///< The complete answer was received and reports a failure of the target.
+	Lost,         ///< The outcome is unknown, or the run was lost before anything was delivered to the caller.
+	LostAfterUse, ///< The run was lost after a part was delivered to the caller; never retried.
+	CallerGone,   ///< The caller disconnected.
 };
 
 /** Counters of a dispatcher since its start. */
 struct DispatchCounters {
-	uint64_t submitted = 0;                                ///< Calls taken in.
-	uint64_t sends = 0;                                    ///< Sends, first and repeated.
-	uint64_t retries = 0;                                  ///< Repeated sends.
-	std::array<uint64_t, GIVE_UP_REASON_COUNT> given_up{}; ///< Refusals by reason.
+	uint64_t submitted = 0;                                ///< Calls submitted.
+	uint64_t sends = 0;                                    ///< Attempts, including retries.
+	uint64_t retries = 0;                                  ///< Retries.
+	std::array<uint64_t, GIVE_UP_REASON_COUNT> given_up{}; ///< Rejected calls by reason.
 };
 
-/** Decides for all calls of one instance. */
+/** Makes the decisions for all calls of one instance. */
 class Dispatcher {
 public:
 	Dispatcher(DispatchLimits limits, std::unique_ptr<Router> router);
 
 	/**
-	 * Share the retries that all instances may save up, \a slack for each model or service, among \a instances.
-	 * @param own Name of this one: where there is less than one for each, the names tell who gets one.
+	 * Set this instance's share of the retry burst that all \a instances together have for each model or service.
+	 * @param slack The common burst.
+	 * @param own Name of this instance: if the share is less than one retry, a hash of the names selects the instances that get one.
 	 */
 	void ShareRetries(double slack, size_t instances, std::string_view own);
 
-	/** A new call has come in. */
+	/** Handle the new call \a call. */
 	Decisions Submit(const CallSpec &call, TimePoint now);
 
-	/** Targets, what they say of themselves, halls or homes have changed: calls that can't be served any more are refused at once, others
-	 * may be sent. */
+	/**
+	 * Handle a change of targets, their restrictions, data halls or home regions: waiting calls that no target can serve any more are
+	 * rejected, others are dispatched if possible.
+	 */
 	Decisions OnPlacesChanged(TimePoint now);
 
-	/** What is held against requests has changed: those that are quarantined by now and wait here are refused at once. */
+	/** Handle a change of the quarantine: waiting calls that are now quarantined are rejected. */
 	Decisions OnSuspicionChanged(TimePoint now);
 
-	/** @return Ends of targets under requests, to add to and to look at. */
+	/** @return The quarantine, to update and to query. */
 	Quarantine &Suspicions() { return this->quarantine; }
 
-	/** \a call may run in \a halls from now on, in this order of preference. */
+	/** Set the data halls in which \a call may run, in order of preference. */
 	void SetHalls(CallId call, std::vector<HallPreference> halls);
 
-	/** The caller of \a call went away while it waited. */
+	/** Remove the waiting \a call because its caller disconnected. */
 	void Withdraw(CallId call);
 
-	/** \a tokens of \a call came at once. */
+	/** Handle the arrival of \a tokens output tokens of \a call. */
 	void OnToken(CallId call, TimePoint now, uint32_t tokens = 1);
 
-	/** @return Where a run of \a call could go on, other than where it is and than \a refused; nothing when there is no room. */
+	/** @return The target to migrate the run of \a call to, other than its present one and \a refused; nothing if none has headroom. */
 	std::optional<TargetNumber> ChooseMove(CallId call, const std::vector<TargetNumber> &refused, TimePoint now);
 
 	/**
-	 * Runs that leave an engine together are copied one after another over its link, and a copy holds what the run had when it
-	 * was asked for: one asked for too early lacks all that the run makes while it waits for the link.
-	 * @param pool What is known of the engines of the pool.
-	 * @param least_rest Runs that are expected to end within it are not copied.
-	 * @return Time from the notice until the runs that go before \a call, those that hold less memory, have been copied.
+	 * Time to wait before the migration copy of \a call is requested. Runs that migrate from an engine at the same time are copied one
+	 * after another over its link, smallest first. A copy is a snapshot from the time of its request, so an early request misses the
+	 * tokens that are generated while it waits for the link.
+	 * @param pool Properties of the engines of the pool.
+	 * @param least_rest Runs with a shorter expected remaining time are not migrated.
+	 * @return Expected time until the smaller runs have been copied.
 	 */
 	Duration CopyWait(CallId call, const EnginePool &pool, Duration least_rest) const;
 
-	/** The run of \a call goes on at \a target. */
+	/** Handle the migration of the run of \a call to \a target. */
 	void OnMoved(CallId call, TargetNumber target, TimePoint now);
 
-	/** @return The calls whose runs \a target holds, those with most still to come first. */
+	/** @return The calls in flight at \a target, those with the longest expected remaining output first. */
 	std::vector<CallId> CallsAt(TargetNumber target) const;
 
-	/** The send of \a call has ended. A call that may run again waits again; otherwise it is forgotten or given up. */
+	/** Handle the end of an attempt of \a call: the call is queued for a retry, rejected, or forgotten if it is done. */
 	Decisions OnSendEnded(CallId call, SendEnd end, TimePoint now);
 
-	/** A load report of \a target came. */
+	/** Handle a load report of \a target. */
 	Decisions OnReport(TargetNumber target, const LoadReport &report, TimePoint now);
 
-	/** Time has passed; to be called some ten times a second. */
+	/** Reject calls whose deadline has passed and dispatch others if possible; to be called about ten times a second. */
 	Decisions OnTick(TimePoint now);
 
-	/** @return The targets, to configure and to look at. */
+	/** @return The targets, to configure and to query. */
 	TargetTable &Targets() { return this->targets; }
 
-	/** @return The targets, to look at. */
+	/** @return The targets, to query. */
 	const TargetTable &Targets() const { return this->targets; }
 
-	/** @return The target that holds \a call, or nothing while it waits. */
+	/** @return The target to which \a call was sent, or nothing while it waits. */
 	std::optional<TargetNumber> Holder(CallId call) const;
 
-	/** @return Calls waiting here. */
+	/** @return The queue of waiting calls. */
 	const CallQueue &Queue() const { return this->queue; }
 
-	/** @return Calls sent and not yet ended. */
+	/** @return Number of calls in flight. */
 	size_t InFlight() const { return this->in_flight; }
 
-	/** @return Counters since the start. */
+	/** @return The counters. */
 	const DispatchCounters &Counters() const { return this->counters; }
 
-	/** @return Expected lengths. */
+	/** @return The output length estimate. */
 	const LengthEstimate &Lengths() const { return this->lengths; }
 
 private:
-	/** A call that is waiting or sent. */
+	/** A call that is waiting or in flight. */
 	struct Tracked {
-		CallSpec call;                      ///< The call.
-		std::optional<TargetNumber> holder; ///< Target that has it.
-		uint32_t attempts = 0;              ///< Sends so far.
-		uint32_t unsent = 0;                ///< Targets in a row that could not be reached.
-		double charged = 0;                 ///< Tokens its account was charged.
-		TimePoint not_before;               ///< Earliest next send, after a failed one.
+		CallSpec call;
+		std::optional<TargetNumber> holder; ///< Target to which it was sent.
+		uint32_t attempts = 0;              ///< Attempts so far.
+		uint32_t unsent = 0;                ///< Consecutive targets that could not be reached.
+		double charged = 0;                 ///< Tokens charged to its flow in the queue.
+		TimePoint not_before;               ///< Earliest time of the next attempt.
 	};
 
 	bool TrySend(const CallSpec &call, TimePoint now, Decisions &decisions);
 	void Drain(TimePoint now, Decisions &decisions);
 	void GiveUp(const CallSpec &call, GiveUpReason reason, TimePoint now, Decisions &decisions);
 	/**
-	 * Give up \a call, which waits, if no target may get it before its deadline: it is told so at once, and when one may.
-	 * @return Whether it was given up.
+	 * Reject the waiting \a call if restrictions keep it from all targets until after its deadline.
+	 * @return Whether it was rejected.
 	 */
 	bool GiveUpIfBound(const CallSpec &call, TimePoint now, Decisions &decisions);
-	/** @return When the caller of \a call, refused at \a now, should come back. */
+	/** @return Retry-After for the caller of \a call, which is rejected at \a now. */
 	Duration RetryAfter(const CallSpec &call, TimePoint now) const;
-	/** @return Time in which what waits before \a call is expected to be sent; zero while that is unknown. */
+	/** @return Expected time until the calls ahead of \a call are dispatched; zero while the dispatch rate is unknown. */
 	Duration Drain(const CallSpec &call) const;
 	void SendAgain(Tracked &tracked, SendEnd end, TimePoint now, Decisions &decisions);
 	void TryElsewhere(Tracked &tracked, TimePoint now, Decisions &decisions);
@@ -166,26 +170,26 @@
 	{
 		return this->quarantine.Judge(call.print, now) == Suspicion::Quarantined;
 	}
-	/** Refuse waiting calls for which \a refuse is true. */
+	/** Reject the waiting calls for which \a refuse returns true. */
 	template <typename Refuse> void RefuseWaiting(GiveUpReason reason, TimePoint now, Decisions &decisions, Refuse refuse);
 
-	DispatchLimits limits;                                     ///< Settings.
-	LengthEstimate lengths;                                    ///< Expected lengths.
-	TargetTable targets;                                       ///< Targets.
-	CallQueue queue;                                           ///< Waiting calls.
-	std::unique_ptr<Router> router;                            ///< Choice of a target.
-	std::unordered_map<CallId, Tracked, StrongIdHash> calls;   ///< Calls not yet ended.
-	std::unordered_map<uint32_t, RetryBudget> target_budgets;  ///< Retries caused by each target.
-	std::unordered_map<uint32_t, RetryBudget> account_budgets; ///< Retries spent for each account.
-	std::unordered_map<uint32_t, RetryBudget> pool_budgets;    ///< Retries at all targets of each model or service.
-	std::unordered_map<uint32_t, RefusalSpan> refusals;        ///< Refusals for want of room, by model or service.
-	Quarantine quarantine;                                     ///< Requests under which targets have ended.
-	DispatchCounters counters;                                 ///< Counters.
-	size_t in_flight = 0;                                      ///< Calls sent and not ended.
-	double rate = 0;                                           ///< Tokens dispatched a second while calls waited; 0 while unknown.
-	double rate_tokens = 0;                                    ///< Tokens dispatched in the running window.
-	TimePoint rate_since;                                      ///< Start of the running window.
-	TimePoint slow_checked;                                    ///< When slow targets were last looked for.
+	DispatchLimits limits;
+	LengthEstimate lengths;                                    ///< Output length estimate.
+	TargetTable targets;                                       ///< State of the targets.
+	CallQueue queue;                                           ///< Queue of waiting calls.
+	std::unique_ptr<Router> router;                            ///< Chooses the target of a call.
+	std::unordered_map<CallId, Tracked, StrongIdHash> calls;   ///< Calls that are waiting or in flight.
+	std::unordered_map<uint32_t, RetryBudget> target_budgets;  ///< Retry budgets by target.
+	std::unordered_map<uint32_t, RetryBudget> account_budgets; ///< Retry budgets by client account.
+	std::unordered_map<uint32_t, RetryBudget> pool_budgets;    ///< Retry budgets by model or service.
+	std::unordered_map<uint32_t, RefusalSpan> refusals;        ///< Duration of the present overload, by model or service.
+	Quarantine quarantine;                                     ///< Requests that are suspected of crashing targets.
+	DispatchCounters counters;
+	size_t in_flight = 0;   ///< Number of calls in flight.
+	double rate = 0;        ///< Tokens dispatched per second while calls waited; 0 while unknown.
+	double rate_tokens = 0; ///< Tokens dispatched in the current window.
+	TimePoint rate_since;   ///< Start of the current window.
+	TimePoint slow_checked; ///< Time of the last check for slow targets.
 };
 
 } // namespace cottonspool
--- a/src/decision/length_estimate.cpp
+++ b/src/decision/length_estimate.cpp
@@ -8,9 +8,10 @@
 
 namespace cottonspool {
 
-static constexpr float DECAY = 0.995F;               ///< Factor on what was learned before, for each new output.
-static constexpr uint64_t ALL_ACCOUNTS = UINT32_MAX; ///< Stands for every account in a group's key.
-static constexpr double GROWTH_BEYOND_SEEN = 0.5;    ///< Part of its length an output longer than any seen is expected to grow by.
+static constexpr float DECAY = 0.995F;               ///< Factor by which older outputs lose weight with each new one.
+static constexpr uint64_t ALL_ACCOUNTS = UINT32_MAX; ///< Account number in the key of the group of all accounts.
+static constexpr double GROWTH_BEYOND_SEEN =
+        0.5; ///< Expected growth, relative to its length, of an output that is longer than all known ones.
 
 /** @return The bucket of an output of \a tokens. */
 static size_t BucketOf(uint32_t tokens)
@@ -19,19 +20,19 @@
 	return std::min<size_t>(31, static_cast<size_t>(position));
 }
 
-/** @return The least length of \a bucket, in tokens. */
+/** @return The lower bound of \a bucket, in tokens. */
 static double BucketLower(size_t bucket)
 {
 	return std::exp2(static_cast<double>(bucket) / 2.0);
 }
 
-/** @return The middle length of \a bucket, in tokens. */
+/** @return The geometric middle of \a bucket, in tokens. */
 static double BucketMiddle(size_t bucket)
 {
 	return std::exp2((static_cast<double>(bucket) + 0.5) / 2.0);
 }
 
-/** @return The key of a group of outputs. */
+/** @return The key of the group of outputs of \a account with the model and class of \a call. */
 static uint64_t GroupKey(const CallSpec &call, uint64_t account)
 {
 	return (account << 32) | (static_cast<uint64_t>(call.model.value) << 4) | static_cast<uint64_t>(call.service_class);
@@ -47,7 +48,7 @@
 double LengthHistogram::Residual(uint32_t generated) const
 {
 	size_t first = BucketOf(std::max<uint32_t>(generated, 1));
-	// Of the bucket that the output is in now, only the part above its present length is still possible.
+	// Only the part of the current bucket above the present length is still possible.
 	double upper = BucketLower(first + 1);
 	double part = std::clamp((upper - generated) / (upper - BucketLower(first)), 0.0, 1.0);
 	double weight = this->weights[first] * part;
--- a/src/decision/length_estimate.h
+++ b/src/decision/length_estimate.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file length_estimate.h Learned distribution of output lengths, and what is still to come of a running one. */
+/** @file length_estimate.h Learned distribution of output lengths, and the expected remaining length of a running output. */
 
 #pragma once
 
@@ -10,64 +10,64 @@
 
 namespace cottonspool {
 
-/** Decaying histogram of output lengths on a logarithmic scale. */
+/** Histogram of output lengths with logarithmic buckets and exponential decay. */
 class LengthHistogram {
 public:
-	/** Learn one finished output of \a tokens; what was learned before fades by a fixed factor. */
+	/** Add a finished output of \a tokens tokens and decay the older ones. */
 	void Add(uint32_t tokens);
 
 	/**
 	 * @param generated Tokens generated so far.
-	 * @return Expected tokens still to come given that the output is longer than \a generated, or a negative number
-	 *         when nothing as long was ever seen.
+	 * @return Expected remaining tokens of an output that is longer than \a generated, or a negative number if none that long is known.
 	 */
 	double Residual(uint32_t generated) const;
 
-	/** @return The weight of what was learned, in outputs. */
+	/** @return The decayed number of outputs. */
 	double Weight() const { return this->total; }
 
 private:
-	static constexpr size_t BUCKETS = 32; ///< Buckets of half an octave each, from 2 to 2^17 tokens.
-	std::array<float, BUCKETS> weights{}; ///< Decayed count of each bucket.
+	static constexpr size_t BUCKETS = 32; ///< Number of buckets; each spans a factor of the square root of 2.
+	std::array<float, BUCKETS> weights{}; ///< Decayed number of outputs in each bucket.
 	float total = 0;                      ///< Sum of the weights.
 
 	friend class LengthEstimate;
 };
 
-/** Bounds of the length estimate. */
+/** Parameters of the length estimate. */
 struct LengthEstimateLimits {
-	size_t max_groups = 4096;   ///< Groups (model, class, account) remembered; the longest unused one is dropped.
-	double prior_tokens = 256;  ///< Expected length before anything was learned.
-	bool learn = true;          ///< Learn from outputs that ended; otherwise the prior stands.
-	double account_outputs = 8; ///< Outputs of an account after which its own history counts for half.
+	size_t max_groups = 4096;   ///< Maximum number of groups (model, class, account); the least recently used one is dropped.
+	double prior_tokens = 256;  ///< Expected length while nothing is learned.
+	bool learn = true;          ///< Whether to learn from finished outputs; otherwise prior_tokens is always used.
+	double account_outputs = 8; ///< Weight of an account's own outputs at which they count as much as those of all accounts.
 };
 
-/** Expected output lengths per (model, class, account), with the group of all accounts as fallback. */
+/** Expected output lengths by model, class and account, blended with those of all accounts. */
 class LengthEstimate {
 public:
 	explicit LengthEstimate(LengthEstimateLimits limits) : limits(limits) {}
 
-	/** Learn that \a call ended after \a tokens. */
+	/** Learn from \a call, which finished after \a tokens output tokens. */
 	void Learn(const CallSpec &call, uint32_t tokens);
 
-	/** @return Expected tokens still to come of \a call after \a generated tokens, at most what its max_tokens leaves. */
+	/** @return Expected remaining tokens of \a call after \a generated tokens, limited by its max_tokens. */
 	double Residual(const CallSpec &call, uint32_t generated) const;
 
-	/** @return Groups remembered now. */
+	/** @return Number of groups. */
 	size_t Groups() const { return this->groups.size(); }
 
 private:
-	/** A remembered group with its place in the order of use. */
+	/** A group of outputs. */
 	struct Group {
-		LengthHistogram histogram;              ///< Lengths of the group.
-		std::list<uint64_t>::iterator position; ///< Place in the order of use.
+		LengthHistogram histogram;
+		std::list<uint64_t>::iterator position; ///< Position in the list of keys.
 	};
 
+	/** @return The group \a key, created if it is missing, as the most recently used one. */
 	Group &Touch(uint64_t key);
 
-	LengthEstimateLimits limits;                ///< Bounds.
-	std::unordered_map<uint64_t, Group> groups; ///< Remembered groups.
-	std::list<uint64_t> order;                  ///< Keys, last used first.
+	LengthEstimateLimits limits;
+	std::unordered_map<uint64_t, Group> groups; ///< Groups by key.
+	std::list<uint64_t> order;                  ///< Keys of the groups, most recently used first.
 };
 
 } // namespace cottonspool
--- a/src/decision/refusal_span.cpp
+++ b/src/decision/refusal_span.cpp
@@ -1,16 +1,16 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file refusal_span.cpp When callers that are refused should come back. */
+/** @file refusal_span.cpp Retry-After for calls that are rejected because of overload. */
 
 #include "decision/refusal_span.h"
 #include <algorithm>
 
 namespace cottonspool {
 
-/** Times the age of the load that a caller is told; see RefusalSpan: longer helps in long loads, and all wait for it after short ones. */
+/** Ratio of the Retry-After to the time for which the overload has lasted; see RefusalSpan. */
 static constexpr double AGE_FACTOR = 4;
-static constexpr double SPREAD_LEAST = 0.75; ///< Least part of the time that a caller is told, and
-static constexpr double SPREAD_MOST = 1.25;  ///< largest.
+static constexpr double SPREAD_LEAST = 0.75; ///< Lower bound of the jitter factor.
+static constexpr double SPREAD_MOST = 1.25;  ///< Upper bound of the jitter factor.
 
 Duration RefusalSpan::RetryAfter(Duration drain, uint64_t random, TimePoint now) const
 {
--- a/src/decision/refusal_span.h
+++ b/src/decision/refusal_span.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file refusal_span.h For how long calls have been refused for want of room, and when coming back is worth it. */
+/** @file refusal_span.h Duration of the present overload, and the Retry-After derived from it. */
 
 #pragma once
 
@@ -10,35 +10,34 @@
 namespace cottonspool {
 
 /**
- * The load that it answers: more calls than room for some seconds, and callers who come back once. Nobody tells when such a load ends.
- * If no length is likelier than another, four of five loads that have lasted a second are over within four more. A caller who is told
- * the time in which the queue drains, a few tenths of a second, comes back into the same load and is refused for good.
- * Longer helps further callers in long loads, but all wait for it after short ones.
+ * Tracks for how long calls have been rejected because of overload. The queue's drain time is too short a Retry-After, as callers then
+ * come back into the same overload. The remaining duration of an overload is unknown but tends to grow with its age, so the
+ * Retry-After is a multiple of the age.
  */
 class RefusalSpan {
 public:
-	/** A call is refused at \a now. */
+	/** Handle the rejection of a call because of overload. */
 	void OnRefused(TimePoint now)
 	{
 		if (now - this->last > QUIET) this->first = now;
 		this->last = now;
 	}
 
-	/** @return For how long calls have been refused without a quiet second. */
+	/** @return Duration of the present overload; zero if there is none. */
 	Duration Age(TimePoint now) const { return now - this->last > QUIET ? Duration(0) : now - this->first; }
 
 	/**
-	 * @param drain Time in which what waits now is expected to be sent.
-	 * @param random Spreads those that are refused together: a herd that comes back at once would be refused again.
-	 * @return Time after which a caller refused now should come back.
+	 * @param drain Expected time until the calls that wait now are dispatched.
+	 * @param random Random number for the jitter, so that callers rejected together don't come back together.
+	 * @return Retry-After for a call that is rejected at \a now.
 	 */
 	Duration RetryAfter(Duration drain, uint64_t random, TimePoint now) const;
 
 private:
-	static constexpr Duration QUIET = std::chrono::seconds(1); ///< Time without refusals after which the load is over.
+	static constexpr Duration QUIET = std::chrono::seconds(1); ///< Time without rejections after which the overload is over.
 
-	TimePoint first; ///< First refusal of the present load.
-	TimePoint last;  ///< Last one.
+	TimePoint first; ///< Time of the first rejection of the present overload.
+	TimePoint last;  ///< Time of the latest rejection.
 };
 
 } // namespace cottonspool
--- a/src/decision/request.cpp
+++ b/src/decision/request.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file request.cpp Names of classes, reasons and results. */
+/** @file request.cpp Names of service classes, execution states and rejection reasons. */
 
 #include "decision/request_type.h"
 
--- a/src/decision/request_print.cpp
+++ b/src/decision/request_print.cpp
@@ -8,7 +8,7 @@
 
 namespace cottonspool {
 
-static constexpr size_t TEXT_LENGTH = 16; ///< Digits of a fingerprint.
+static constexpr size_t TEXT_LENGTH = 16; ///< Length of a formatted fingerprint, in hexadecimal digits.
 
 RequestPrint PrintRequest(const RequestIdentity &identity)
 {
--- a/src/decision/request_print.h
+++ b/src/decision/request_print.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file request_print.h What makes two requests the same one that comes again: a hash of all that does not change between tries. */
+/** @file request_print.h Fingerprints of requests, by which retries of a caller are recognised. */
 
 #pragma once
 
@@ -11,25 +11,25 @@
 
 namespace cottonspool {
 
-/** Fingerprint of a request: equal for all tries of it, at whatever instance. */
+/** Hash of a request that is equal for all attempts of its caller, on all instances; zero stands for none. */
 using RequestPrint = StrongId<struct RequestPrintTag, uint64_t>;
 
-/** What of a request stays the same when its caller sends it again. Its id, its time limit and the key it bears need not. */
+/** The parts of a request that are equal when its caller retries it; request id, time limit and API key may differ. */
 struct RequestIdentity {
-	std::string_view method;  ///< Method.
-	std::string_view host;    ///< Host, without a port.
+	std::string_view method;  ///< HTTP method.
+	std::string_view host;    ///< Host without the port.
 	std::string_view path;    ///< Path with the query.
 	std::string_view account; ///< Client account; empty for none.
-	std::string_view body;    ///< Whole body.
+	std::string_view body;    ///< Complete body.
 };
 
-/** @return The fingerprint of the request \a identity, the same on every instance; never zero, which stands for none. */
+/** @return The fingerprint of the request \a identity; never zero. */
 RequestPrint PrintRequest(const RequestIdentity &identity);
 
 /** @return \a print as 16 hexadecimal digits. */
 std::string PrintText(RequestPrint print);
 
-/** @return The fingerprint that \a text spells, or nothing. */
+/** @return The fingerprint in \a text, or nothing if it is malformed or zero. */
 std::optional<RequestPrint> ParsePrint(std::string_view text);
 
 } // namespace cottonspool
--- a/src/decision/request_type.h
+++ b/src/decision/request_type.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file request_type.h What the decision core knows of one call, and what it decides about it. */
+/** @file request_type.h Types for calls, decisions about them, and load reports of targets. */
 
 #pragma once
 
@@ -15,96 +15,96 @@
 
 namespace cottonspool {
 
-/** Service class of a call; a smaller value goes first and is preempted last. */
+/** Service class of a call; smaller values are dispatched first and preempted last. */
 enum class ServiceClass : uint8_t { Interactive, Stream, Background };
 constexpr size_t SERVICE_CLASS_COUNT = 3;
 
 /** @return The name of \a service_class as written in settings and metrics. */
 const char *ServiceClassName(ServiceClass service_class);
 
-/** @return The class named \a name, or nothing when there is none. */
+/** @return The class named \a name, or nothing if there is none. */
 std::optional<ServiceClass> ParseServiceClass(std::string_view name);
 
-/** Whether a request was run, as told to its caller. */
+/** Whether a request was executed, as reported to its caller. */
 enum class RanState : uint8_t { No, Yes, Unknown };
 
-/** @return "no", "yes" or "unknown". */
+/** @return The name of \a ran as written in answers. */
 const char *RanStateName(RanState ran);
 
-/** Preference for a data hall, from traffic shares or a policy. */
+/** A data hall in which a call may run, from traffic shares or a policy. */
 struct HallPreference {
 	std::string hall;  ///< Name of the data hall.
-	double weight = 1; ///< Share of traffic; a hall with weight 0 gets nothing new.
+	double weight = 1; ///< Share of traffic; a hall with weight 0 gets no new calls.
 };
 
 /** One call as the decision core sees it. */
 struct CallSpec {
-	CallId id;                                              ///< Number at this instance.
-	AccountNumber account;                                  ///< Client account that pays for it.
-	ModelNumber model;                                      ///< Model, or service, that is to answer.
-	ServiceClass service_class = ServiceClass::Interactive; ///< Class, for order and headroom.
-	int priority = 0;                                       ///< Order inside the class; larger goes first.
+	CallId id;                                              ///< Number on this instance.
+	AccountNumber account;                                  ///< Client account to which it is charged.
+	ModelNumber model;                                      ///< Requested model or service.
+	ServiceClass service_class = ServiceClass::Interactive; ///< Service class.
+	int priority = 0;                                       ///< Priority within the class; larger goes first.
 	uint32_t prompt_tokens = 1;                             ///< Length of the prompt, in tokens.
-	uint32_t max_tokens = 0;                                ///< Most output tokens; 0 means not limited by the caller.
-	uint64_t prefix = 0;                                    ///< Hash of the prompt's beginning; 0 means none.
-	bool repeatable = true;                                 ///< May be run again after a doubtful try.
-	double account_weight = 1;                              ///< Fair share of its account.
-	TimePoint arrived;                                      ///< When the call arrived.
-	TimePoint deadline;                                     ///< When it is given up if it has not been sent.
-	std::vector<HallPreference> halls;                      ///< Halls in order of preference; empty means any.
-	bool generated = true;                                  ///< A model generation; false for a plain service call.
-	TimePoint ends_at = TimePoint::max();                   ///< When its final answer is due at the latest.
-	Duration objective{0};                                  ///< Latency within which its (first) answer is in time; zero if there is none.
-	double other_hall_penalty = 0.10;                       ///< Pressure that the next preferred hall has to be better by.
-	uint32_t max_attempts = 0;                              ///< Most targets it may be sent to; 0 means the dispatcher's own bound.
-	TimePoint press_from = TimePoint::max();                ///< From then on it goes to a target without room, up to a bound.
-	std::vector<TargetNumber> avoid;                        ///< Targets that get it only if there is no other.
-	bool avoid_strictly = false;                            ///< They don't get it at all.
-	bool avoid_cold = false;                                ///< Targets that are cold don't get it at all.
-	RequestPrint print;                                     ///< Its fingerprint; zero for none.
+	uint32_t max_tokens = 0;                                ///< Maximum number of output tokens; 0 if the caller sets no limit.
+	uint64_t prefix = 0;                                    ///< Hash of the prompt's prefix; 0 for none.
+	bool repeatable = true;                                 ///< Whether it may be executed again after an attempt with an unknown outcome.
+	double account_weight = 1;                              ///< Weight of its account in fair queueing.
+	TimePoint arrived;                                      ///< Time of arrival.
+	TimePoint deadline;                                     ///< Time at which it is rejected if it still waits.
+	std::vector<HallPreference> halls;                      ///< Data halls in order of preference; empty for any.
+	bool generated = true;                                  ///< Whether it is a generation of a model; false for a service call.
+	TimePoint ends_at = TimePoint::max();                   ///< Latest time for its complete answer.
+	Duration objective{0};                                  ///< Latency objective for its answer or first event; zero for none.
+	double other_hall_penalty = 0.10;        ///< Pressure advantage that a hall needs to be chosen over the one preferred before it.
+	uint32_t max_attempts = 0;               ///< Maximum number of attempts; 0 for the dispatcher's default.
+	TimePoint press_from = TimePoint::max(); ///< From then on it may overcommit a target that has no headroom, up to a limit.
+	std::vector<TargetNumber> avoid;         ///< Targets that get it only if no other may.
+	bool avoid_strictly = false;             ///< Targets in \c avoid never get it.
+	bool avoid_cold = false;                 ///< Cold targets never get it.
+	RequestPrint print;                      ///< Fingerprint; zero for none.
 };
 
-/** Why a call was given up before it was sent. */
+/** Why a call was rejected. */
 enum class GiveUpReason : uint8_t { DeadlinePassed, WaitTooLong, QueueFull, NoTarget, RetryBudget, Quarantined, AllBound };
 constexpr size_t GIVE_UP_REASON_COUNT = 7;
 
 /** @return The name of \a reason as written in answers and metrics. */
 const char *GiveUpReasonName(GiveUpReason reason);
 
-/** Tells the shell to send a call to a target. */
+/** Decision to send a call to a target. */
 struct SendAction {
-	CallId call;         ///< Call to send.
-	TargetNumber target; ///< Target that gets it.
-	int priority;        ///< Priority passed to the engine; larger goes first.
+	CallId call;
+	TargetNumber target;
+	int priority; ///< Priority to pass to the engine; larger goes first.
 };
 
-/** Tells the shell to answer a call that will not be sent any more: it was not run. */
+/** Decision to reject a call. */
 struct GiveUpAction {
-	CallId call;          ///< Call to answer.
-	GiveUpReason reason;  ///< Why.
-	Duration retry_after; ///< When coming back helps.
-	BoundCounts bounds{}; ///< For how many targets each bound held, if it is given up since all were bound.
+	CallId call;
+	GiveUpReason reason;
+	Duration retry_after; ///< Retry-After for the caller.
+	BoundCounts bounds{}; ///< Number of targets under each restriction; set for GiveUpReason::AllBound.
 };
 
-/** Decisions that follow from one event, in the order to carry them out. */
+/** Decisions that follow from one event, in order of execution. */
 struct Decisions {
 	std::vector<SendAction> sends;      ///< Calls to send.
-	std::vector<GiveUpAction> give_ups; ///< Calls to refuse.
+	std::vector<GiveUpAction> give_ups; ///< Calls to reject.
 };
 
-/** A target's own report of its load, as received. */
+/** Load report of a target. */
 struct LoadReport {
-	uint64_t sequence = 0;          ///< Number of the report, counted by the target.
-	uint64_t capacity_tokens = 0;   ///< Memory for tokens in all (or slots of a service).
-	uint64_t used_tokens = 0;       ///< Memory in use.
-	uint32_t running = 0;           ///< Calls being decoded.
-	uint32_t waiting = 0;           ///< Calls accepted but not yet decoded.
+	uint64_t sequence = 0;          ///< Sequence number, counted by the target.
+	uint64_t capacity_tokens = 0;   ///< KV cache capacity, in tokens, or slots of a service.
+	uint64_t used_tokens = 0;       ///< KV cache in use, in tokens.
+	uint32_t running = 0;           ///< Running calls.
+	uint32_t waiting = 0;           ///< Accepted calls that do not run yet.
 	uint64_t waiting_tokens = 0;    ///< Prompt tokens of the waiting calls.
-	uint64_t preemptions = 0;       ///< Preemptions since the target's start.
-	Duration age{0};                ///< Age of the report when it was received.
-	bool leaving = false;           ///< The target's own notice that it leaves.
-	std::string incarnation;        ///< Changes whenever the target starts anew.
-	std::vector<uint64_t> prefixes; ///< Prefixes said to be cached; late and with gaps.
+	uint64_t preemptions = 0;       ///< Preemptions since the start of the target.
+	Duration age{0};                ///< Age of the report at its receipt.
+	bool leaving = false;           ///< Whether the target is draining.
+	std::string incarnation;        ///< Identifies the run of the target's process; changes with each restart.
+	std::vector<uint64_t> prefixes; ///< Hashes of cached prompt prefixes; may be outdated or incomplete.
 };
 
 } // namespace cottonspool
--- a/src/decision/retry_budget.cpp
+++ b/src/decision/retry_budget.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file retry_budget.cpp Bounds the share of attempts that are retries. */
+/** @file retry_budget.cpp Retry budget and backoff. */
 
 #include "decision/retry_budget.h"
 #include <algorithm>
--- a/src/decision/retry_budget.h
+++ b/src/decision/retry_budget.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file retry_budget.h Bounds the share of attempts that are retries, and spreads them in time. */
+/** @file retry_budget.h Retry budget, which limits retries to a fraction of first attempts, and exponential backoff. */
 
 #pragma once
 
@@ -9,34 +9,34 @@
 
 namespace cottonspool {
 
-/** Bounds of retries. */
+/** Parameters of a retry budget. */
 struct RetryLimits {
-	double ratio = 0.1;                                    ///< Retries earned by each first attempt.
-	double burst = 10;                                     ///< Most retries saved up.
-	Duration backoff_base = std::chrono::milliseconds(50); ///< Longest first pause.
-	Duration backoff_max = std::chrono::seconds(2);        ///< Longest pause.
+	double ratio = 0.1;                                    ///< Retries added to the budget by each first attempt.
+	double burst = 10;                                     ///< Maximum number of retries in the budget.
+	Duration backoff_base = std::chrono::milliseconds(50); ///< Maximum delay before the first retry; doubles with each further one.
+	Duration backoff_max = std::chrono::seconds(2);        ///< Maximum delay before any retry.
 };
 
-/** A token bucket filled by first attempts and emptied by retries. */
+/** Token bucket that first attempts fill and retries empty. */
 class RetryBudget {
 public:
 	explicit RetryBudget(RetryLimits limits) : limits(limits), tokens(limits.burst) {}
 
-	/** From now on at most \a burst retries are saved up. */
+	/** Set the maximum number of retries in the budget. */
 	void SetBurst(double burst);
 
-	/** A first attempt was made. */
+	/** Handle a first attempt. */
 	void OnFirstAttempt();
 
-	/** @return Whether a retry may be made; if so it has been counted. */
+	/** @return Whether a retry may be made; if so it is deducted from the budget. */
 	[[nodiscard]] bool TryRetry();
 
-	/** @return Pause before retry number \a attempt (from 1), with full jitter from the random number \a random. */
+	/** @return Delay before retry number \a attempt (from 1), with full jitter from the random number \a random. */
 	Duration Backoff(uint32_t attempt, uint64_t random) const;
 
 private:
-	RetryLimits limits; ///< Bounds.
-	double tokens;      ///< Retries that may be made now.
+	RetryLimits limits;
+	double tokens; ///< Retries in the budget.
 };
 
 } // namespace cottonspool
--- a/src/decision/router.cpp
+++ b/src/decision/router.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file router.cpp Choice of a target: headroom (ours) and the baselines. */
+/** @file router.cpp The headroom router and the baseline routers it is compared with. */
 
 #include "core/hash_func.h"
 #include "decision/router_base.h"
@@ -9,13 +9,13 @@
 
 namespace cottonspool {
 
-static constexpr double PREFIX_BONUS = 0.40;      ///< Pressure that a cached prefix outweighs, among targets that have room.
-static constexpr double INTERVAL_WEIGHT = 0.4;    ///< Weight of the time between tokens against its median.
-static constexpr double CALLS_WEIGHT = 0.02;      ///< Weight of one call at the target: more calls make each step longer.
-static constexpr double MOST_PRESSURE = 1.5;      ///< Pressure from which even an interactive call waits.
-static constexpr double FIRST_TOKEN_WEIGHT = 1.5; ///< Weight of the wait for the first token, as a part of the objective.
+static constexpr double PREFIX_BONUS = 0.40;      ///< Pressure that a cached prefix compensates for.
+static constexpr double INTERVAL_WEIGHT = 0.4;    ///< Weight of the relative deviation of the time between tokens from the median.
+static constexpr double CALLS_WEIGHT = 0.02;      ///< Weight of each call at the target, as a larger batch slows down each step.
+static constexpr double MOST_PRESSURE = 1.5;      ///< Pressure above which no call overcommits a target.
+static constexpr double FIRST_TOKEN_WEIGHT = 1.5; ///< Weight of the expected time to first token relative to the latency objective.
 
-/** @return Penalty of the hall of \a target for \a call, which may run there. */
+/** @return Score penalty for the position of the hall of \a target in the preferences of \a call. */
 static double HallPenalty(const CallSpec &call, const TargetState &target)
 {
 	double penalty = 0;
@@ -26,13 +26,13 @@
 	return penalty;
 }
 
-/** @return Whether \a call is not to go to \a target again. */
+/** @return Whether \a call should avoid \a target. */
 static bool IsAvoided(const CallSpec &call, TargetNumber target)
 {
 	return std::find(call.avoid.begin(), call.avoid.end(), target) != call.avoid.end();
 }
 
-/** @return \a call with nothing to avoid, if no target is left for it otherwise; nothing if one is. */
+/** @return A copy of \a call without targets to avoid, if only those may get it; nothing if there are others. */
 static std::optional<CallSpec> WithoutAvoiding(const CallSpec &call, const TargetTable &targets, TimePoint now)
 {
 	if (call.avoid.empty() || call.avoid_strictly) return std::nullopt;
@@ -44,7 +44,7 @@
 	return relaxed;
 }
 
-/** @return The targets that may get \a call now. */
+/** @return The targets that may get \a call now and are not to be avoided. */
 static std::vector<TargetNumber> Usable(const CallSpec &call, const TargetTable &targets, TimePoint now)
 {
 	std::vector<TargetNumber> usable;
@@ -55,7 +55,7 @@
 	return usable;
 }
 
-/** @return Load as a naive balancer sees it: the last report plus own calls that it cannot contain yet. */
+/** @return Number of calls at \a target: those in its last report and own ones sent since. */
 static double ReportedLoad(const TargetState &target)
 {
 	double fresh = static_cast<double>(target.in_flight.size()) - target.known_calls_at_report;
@@ -64,7 +64,7 @@
 
 namespace {
 
-/** Ours: room for the expected length first, then the least pressure, a cached prefix, and the preferred hall. */
+/** Chooses the target with the best score (pressure, speed, cached prefix, hall) among those with headroom for the expected length. */
 class HeadroomRouter : public Router {
 public:
 	explicit HeadroomRouter(HeadroomRules rules) : rules(rules) {}
@@ -73,7 +73,7 @@
 	{
 		if (std::optional<CallSpec> relaxed = WithoutAvoiding(call, targets, now)) return this->Choose(*relaxed, targets, now);
 		std::optional<TargetNumber> best = this->Best(call, targets, now, this->rules.use_headroom);
-		// An interactive call does not wait for room: it goes first at the engine, and what it takes is kept free by the other classes.
+		// Interactive calls may overcommit, as the engine runs them first and preempts the calls of other classes.
 		bool interactive = call.service_class == ServiceClass::Interactive && call.generated;
 		bool may_press = (interactive || now >= call.press_from) && (!call.generated || this->rules.use_press);
 		return best || !may_press ? best : this->Best(call, targets, now, false);
@@ -116,10 +116,10 @@
 		return cached ? score - PREFIX_BONUS : score;
 	}
 
-	HeadroomRules rules; ///< Switches.
+	HeadroomRules rules;
 };
 
-/** Baseline: each target in turn. */
+/** Baseline: round robin. */
 class RoundRobinRouter : public Router {
 public:
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
@@ -133,7 +133,7 @@
 	uint64_t next = 0; ///< Calls routed so far.
 };
 
-/** Baseline: the least reported load. */
+/** Baseline: the target with the fewest calls. */
 class LeastLoadRouter : public Router {
 public:
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
@@ -146,7 +146,7 @@
 	}
 };
 
-/** Baseline: the less loaded of two random targets. */
+/** Baseline: the target with fewer calls of two random ones. */
 class TwoChoicesRouter : public Router {
 public:
 	explicit TwoChoicesRouter(uint64_t seed) : seed(seed) {}
@@ -167,7 +167,7 @@
 	uint64_t drawn = 0; ///< Draws so far.
 };
 
-/** Baseline, from the paper: a weighted sum of the caller's rank (delay) and the target's rank (cost) of each target. */
+/** Baseline: the smallest weighted sum of a target's rank by expected delay and its rank by number of calls. */
 class RankWeightedRouter : public Router {
 public:
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
@@ -188,7 +188,7 @@
 	}
 
 private:
-	static constexpr double BETA = 0.5; ///< Weight of the caller's side.
+	static constexpr double BETA = 0.5; ///< Weight of the rank by delay.
 
 	template <typename Key> static double Rank(const std::vector<TargetNumber> &all, TargetNumber of, Key key)
 	{
--- a/src/decision/router_base.h
+++ b/src/decision/router_base.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file router_base.h The choice of a target for one call: the interface, ours, and the baselines it is measured against. */
+/** @file router_base.h Interface of the routers, which choose a target for a call. */
 
 #pragma once
 
@@ -14,20 +14,22 @@
 public:
 	virtual ~Router() = default;
 
-	/** @return The target to send \a call to now, or nothing when it has to wait. */
+	/** @return The target to send \a call to now, or nothing if it has to wait. */
 	virtual std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) = 0;
 };
 
-/** Switches of the headroom router, each measured by leaving it out. */
+/** Switches of the headroom router, to measure the effect of each mechanism. */
 struct HeadroomRules {
-	bool use_headroom = true;    ///< Let a call wait while no target has room for its expected length.
-	bool use_interval = true;    ///< Prefer targets whose tokens come faster than their like's.
-	bool use_press = true;       ///< Let interactive generations, and those whose time to press has come, go without room, up to a bound.
-	bool use_prefix = true;      ///< Prefer a target that has the prompt's beginning cached.
-	bool use_first_token = true; ///< Prefer a target that reads the prompt soon.
+	bool use_headroom = true;    ///< Let a call wait while no target has headroom for its expected length.
+	bool use_interval = true;    ///< Prefer targets with a shorter time between tokens than the median.
+	bool use_press = true;       ///< Let interactive calls, and others after CallSpec::press_from, overcommit a target up to a limit.
+	bool use_prefix = true;      ///< Prefer targets that have the prompt's prefix cached.
+	bool use_first_token = true; ///< Prefer targets with a short time to first token.
 };
 
-/** Make the router named \a name ("headroom", "round-robin", "least-load", "two-choices", "rank-weighted"). @return Null for no such name.
+/**
+ * Create the router \a name: "headroom" or one of the baselines "round-robin", "least-load", "two-choices" and "rank-weighted".
+ * @return Null if there is no such router.
  */
 std::unique_ptr<Router> MakeRouter(std::string_view name, uint64_t seed, HeadroomRules rules = {});
 
--- a/src/decision/serving_type.h
+++ b/src/decision/serving_type.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file serving_type.h What an operator's platform tells an instance: routes, pools, client accounts, listed targets. */
+/** @file serving_type.h Configuration from the operators' platform: routes, pools, client accounts and listed targets. */
 
 #pragma once
 
@@ -13,47 +13,47 @@
 
 namespace cottonspool {
 
-/** What may be done with a request that did not end well. */
+/** Type of a route: whether its requests may be retried and how they are answered. */
 enum class RunKind : uint8_t {
-	Repeatable, ///< May run more than once.
-	Once,       ///< May run at most once.
-	Stream,     ///< A generation, passed on event by event; may run at most once.
+	Repeatable, ///< Requests may be executed more than once.
+	Once,       ///< Requests are executed at most once.
+	Stream,     ///< Streamed generations, executed at most once.
 };
 
-/** A pool of targets with its share of a route's requests. */
+/** A pool with its share of a route's requests. */
 struct WeightedPool {
 	std::string pool;  ///< Name of the pool.
-	double weight = 1; ///< Share, relative to the others.
+	double weight = 1; ///< Share, relative to the route's other pools.
 };
 
-/** One route. */
+/** A route: which requests it matches and how they are served. */
 struct Route {
-	std::string name;                   ///< Name, for logs and metrics.
-	std::string host;                   ///< Host it is for.
-	std::string path_prefix;            ///< Beginning of the paths it is for; ends in a slash.
-	RunKind kind = RunKind::Repeatable; ///< What may be repeated.
-	std::vector<WeightedPool> pools;    ///< Where its requests go.
-	uint32_t max_attempts = 1;          ///< Most targets that one request may be sent to.
-	Duration timeout{0};                ///< Longest time a request may be held.
-	Duration objective{0};              ///< Latency within which an answer (its first event) is in time.
-	Duration gap_objective{0};          ///< Longest pause between events that is in time; zero if there is none.
-	int rank = 0;                       ///< Order among requests; 0 goes first.
-	bool needs_key = true;              ///< Requests must carry a client account's key.
+	std::string name;                   ///< Name in logs and metrics.
+	std::string host;                   ///< Host of the requests it matches.
+	std::string path_prefix;            ///< Prefix of the paths it matches; ends in a slash.
+	RunKind kind = RunKind::Repeatable; ///< Type of the route.
+	std::vector<WeightedPool> pools;    ///< Pools that serve its requests.
+	uint32_t max_attempts = 1;          ///< Maximum number of attempts per request.
+	Duration timeout{0};                ///< Time limit for a complete answer.
+	Duration objective{0};              ///< Latency objective for an answer or its first event.
+	Duration gap_objective{0};          ///< Objective for the time between events; zero for none.
+	int rank = 0;                       ///< Priority of its requests; 0 goes first.
+	bool needs_key = true;              ///< Whether requests need the API key of a client account.
 	std::vector<std::string> homes;     ///< Regions in which its requests may run; empty for all.
 };
 
-/** What is known of the engines of a pool. */
+/** Properties of the engines of a pool. */
 struct EnginePool {
-	uint32_t slots = 1;            ///< Generations run at once.
-	uint64_t memory_tokens = 0;    ///< Memory, in tokens.
-	double bytes_per_token = 0;    ///< Size of a token's part of the memory.
-	double link_mbps = 0;          ///< Speed of the link on which memory is moved, in Mbit/s.
-	uint32_t tokens_per_event = 1; ///< Tokens that one event holds.
-	bool can_move = false;         ///< Runs can be moved to another engine.
-	bool can_back_up = false;      ///< Runs can be backed up on another engine.
+	uint32_t slots = 1;            ///< Maximum number of concurrent runs.
+	uint64_t memory_tokens = 0;    ///< KV cache capacity, in tokens.
+	double bytes_per_token = 0;    ///< KV cache size per token, in bytes.
+	double link_mbps = 0;          ///< Bandwidth of an engine's link for KV cache transfers, in Mbit/s; 0 if unknown.
+	uint32_t tokens_per_event = 1; ///< Tokens per event of a stream.
+	bool can_move = false;         ///< Whether runs can migrate to another engine.
+	bool can_back_up = false;      ///< Whether runs can be backed up on another engine.
 };
 
-/** @return Time that copying the memory of \a tokens to another engine of the same hall takes on the link; zero if its speed is unknown. */
+/** @return Time to copy the KV cache of \a tokens to another engine in the same data hall; zero if the bandwidth is unknown. */
 inline Duration CopyTime(const EnginePool &pool, double tokens)
 {
 	static constexpr double BITS_PER_BYTE = 8;
@@ -62,54 +62,54 @@
 	return FromSeconds(tokens * pool.bytes_per_token * BITS_PER_BYTE / (pool.link_mbps * BITS_PER_MBIT));
 }
 
-/** One pool of targets. */
+/** A pool of interchangeable targets. */
 struct Pool {
-	std::string name;                 ///< Name.
+	std::string name;
 	std::string health_path;          ///< Path of the health check.
-	uint32_t max_connections = 0;     ///< Most connections a target takes from all callers together; 0 if unknown.
-	std::optional<EnginePool> engine; ///< Given for model engines.
-	Duration cold_start{0};           ///< Time for which a target is cold after its start.
-	double cold_per_s = 0;            ///< Requests a second that a cold target bears, from all instances together; 0 for any number.
+	uint32_t max_connections = 0;     ///< Maximum number of connections to a target from all its clients; 0 if unknown.
+	std::optional<EnginePool> engine; ///< Properties of the engines; nothing for a pool of services.
+	Duration cold_start{0};           ///< Duration of the cold start of a target.
+	double cold_per_s = 0;            ///< Maximum requests per second to a cold target, from all instances together; 0 for no limit.
 };
 
-/** One client account. */
+/** A client account. */
 struct ClientAccount {
-	std::string name;               ///< Name, told to targets.
-	std::vector<std::string> keys;  ///< Keys.
-	std::optional<int> rank;        ///< Goes before the route's rank.
+	std::string name;               ///< Name, which is sent to targets.
+	std::vector<std::string> keys;  ///< API keys.
+	std::optional<int> rank;        ///< Priority of its requests; takes precedence over the route's.
 	std::vector<std::string> homes; ///< Regions in which its requests may run; empty for all.
 };
 
-/** Limits on callers that the operator sets. */
+/** Limits on the requests and connections of callers. */
 struct CallerLimits {
-	size_t max_head_bytes = 16U << 10;                ///< Longest head.
-	size_t max_body_bytes = 4U << 20;                 ///< Longest body.
-	Duration head_timeout = std::chrono::seconds(3);  ///< Longest time for a head.
-	Duration idle_timeout = std::chrono::seconds(15); ///< Longest rest of a connection.
+	size_t max_head_bytes = 16U << 10;                ///< Maximum size of the HTTP head, in bytes.
+	size_t max_body_bytes = 4U << 20;                 ///< Maximum size of the body, in bytes.
+	Duration head_timeout = std::chrono::seconds(3);  ///< Time limit for receiving a complete head.
+	Duration idle_timeout = std::chrono::seconds(15); ///< Time after which an idle connection is closed.
 };
 
-/** A whole configuration. */
+/** A complete configuration. */
 struct ServingConfiguration {
-	uint64_t version = 0;                ///< Rises with each configuration.
-	std::vector<Route> routes;           ///< Routes.
-	std::vector<Pool> pools;             ///< Pools.
-	std::vector<ClientAccount> accounts; ///< Client accounts.
-	bool has_accounts = false;           ///< Requests must carry keys where the route says so.
-	CallerLimits limits;                 ///< Limits on callers.
+	uint64_t version = 0; ///< Increases with each configuration.
+	std::vector<Route> routes;
+	std::vector<Pool> pools;
+	std::vector<ClientAccount> accounts;
+	bool has_accounts = false; ///< Whether client accounts are configured; without them no route needs a key.
+	CallerLimits limits;
 };
 
-/** A target as its own heartbeat shows it. */
+/** A target as described by its own heartbeat row. */
 struct ListedTarget {
-	TargetLife life;       ///< Its id and the start of its life.
-	std::string pool;      ///< Pool it belongs to.
+	TargetLife life;       ///< Id and start time.
+	std::string pool;      ///< Name of its pool.
 	std::string address;   ///< IP:PORT.
-	std::string hall;      ///< Data hall.
-	uint32_t slots = 1;    ///< Requests it works on at once.
-	bool leaving = false;  ///< Gets nothing new.
-	uint64_t sequence = 0; ///< Rises with each heartbeat.
-	Duration cold_left{0}; ///< How much longer it is slow from its start.
+	std::string hall;      ///< Name of its data hall.
+	uint32_t slots = 1;    ///< Maximum number of concurrent requests.
+	bool leaving = false;  ///< Whether it is draining.
+	uint64_t sequence = 0; ///< Increases with each heartbeat.
+	Duration cold_left{0}; ///< Remaining time of its cold start.
 
-	/** @return Whether \a other says the same but for the heartbeat's number. */
+	/** @return Whether \a other differs at most in its identity and sequence. */
 	bool SaysSameAs(const ListedTarget &other) const
 	{
 		return this->pool == other.pool && this->address == other.address && this->hall == other.hall && this->slots == other.slots &&
--- a/src/decision/target_bounds.cpp
+++ b/src/decision/target_bounds.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_bounds.cpp What keeps requests from a target. */
+/** @file target_bounds.cpp Restrictions that keep requests from a target. */
 
 #include "decision/target_bounds.h"
 
--- a/src/decision/target_bounds.h
+++ b/src/decision/target_bounds.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_bounds.h May a target get a request now; if not, why, and until when: all that keeps requests from it, in one place. */
+/** @file target_bounds.h All restrictions on the requests to one target, and the check against them. */
 
 #pragma once
 
@@ -10,25 +10,25 @@
 
 namespace cottonspool {
 
-/** All that keeps requests from one target, whatever the request. */
+/** Restrictions on the requests to one target that don't depend on the request. */
 struct TargetBounds {
-	bool known = false;      ///< The configuration in force names it.
-	bool ready = false;      ///< It has reported at least once, or is a service without reports.
-	bool leaving = false;    ///< Gets nothing new; see TargetTable::MarkLeaving().
-	bool emptied = false;    ///< Its hall is emptied: gets nothing new until that is taken back.
-	TimePoint ejected_until; ///< Gets nothing new before this.
-	bool probing = false;    ///< One call is on its way to find out whether it is well again.
-	TimePoint paused_until;  ///< It has asked this instance for nothing before.
-	ColdStart cold;          ///< Keeps what it gets while it is cold to what it bears.
-	TargetLimit limit;       ///< Keeps what it gets to the limit that it names.
+	bool known = false;      ///< Whether the current configuration contains the target.
+	bool ready = false;      ///< Whether it has sent a load report, or is a service without reports.
+	bool leaving = false;    ///< Whether it is draining; see TargetTable::MarkLeaving().
+	bool emptied = false;    ///< Whether its data hall has been evacuated.
+	TimePoint ejected_until; ///< End of its ejection.
+	bool probing = false;    ///< Whether a probe request is in flight after an ejection.
+	TimePoint paused_until;  ///< End of the pause that it requested from this instance.
+	ColdStart cold;          ///< Rate limit during its cold start.
+	TargetLimit limit;       ///< Rate limit that it advertises.
 
 	/**
-	 * @param avoid_cold A cold target gets nothing at all.
-	 * @return Whether it may get a request at \a now.
+	 * @param avoid_cold Whether a cold target may get no request at all.
+	 * @return Whether the target may get a request at \a now.
 	 */
 	BoundVerdict Judge(TimePoint now, bool avoid_cold) const;
 
-	/** A request of this instance goes there. */
+	/** Count a request of this instance that is sent to the target. */
 	void OnSent(TimePoint now);
 };
 
--- a/src/decision/target_health.cpp
+++ b/src/decision/target_health.cpp
@@ -1,14 +1,15 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_health.cpp Which targets are well: those that fail, cannot be reached or are slow. */
+/** @file target_health.cpp Outlier ejection: targets that fail or cannot be reached, and detection of slow ones. */
 
 #include "decision/target_table.h"
 #include <algorithm>
 
 namespace cottonspool {
 
-static constexpr size_t SLOW_MIN_TARGETS = 3; ///< Fewest measured targets from which a median says something.
-static constexpr double INTERVAL_AGING = 0.1; ///< Part of the way to the median that an idle target's figure goes in a second.
+static constexpr size_t SLOW_MIN_TARGETS = 3; ///< Minimum number of targets with measurements for a median.
+static constexpr double INTERVAL_AGING =
+        0.1; ///< Fraction of its distance to the median by which the token interval of an idle target changes per second.
 
 uint32_t TargetTable::OnEnded(TargetNumber number, CallId call, TargetConduct conduct, TimePoint now)
 {
@@ -32,15 +33,15 @@
 void TargetTable::OnSent(TargetNumber number, const CallSpec &call, TimePoint now)
 {
 	this->OnForeignSent(number, call, now);
-	// Only own calls find out whether it is well again: how those of peers end is not told here, and they would be waited for for ever.
+	// Calls of peers are no probes, as this instance does not learn how they end.
 	TargetState &target = this->targets[number.value];
 	if (target.ejections > 0) target.bounds.probing = true;
 }
 
 void TargetTable::EjectUnreachable(TargetState &target, TimePoint now)
 {
-	// While a hall is cut off, targets that had answered with failures stood ejected, and all calls went to the one that could
-	// not be reached. One that answers at all serves more, so those come back before this one goes.
+	// A target that answers, even with failures, is better than an unreachable one. So ejected targets that can be reached are
+	// reinstated first; otherwise all calls could go to the unreachable one.
 	bool others = false;
 	for (ModelNumber model : target.models) {
 		for (TargetNumber number : this->ForModel(model)) {
@@ -87,7 +88,7 @@
 		for (TargetNumber number : numbers) {
 			TargetState &target = this->targets[number.value];
 			target.median_interval = *middle;
-			// Without own calls there the figure ages towards the median, so that a target that was slow is tried again.
+			// The interval of an idle target decays towards the median, so that a slow target is tried again.
 			if (target.in_flight.empty() && target.interval > 0) target.interval += INTERVAL_AGING * (*middle - target.interval);
 			target.slow = target.interval > this->limits.slow_factor * *middle;
 		}
--- a/src/decision/target_life.cpp
+++ b/src/decision/target_life.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_life.cpp Names of targets' lives. */
+/** @file target_life.cpp Names of target incarnations. */
 
 #include "decision/target_life.h"
 
--- a/src/decision/target_life.h
+++ b/src/decision/target_life.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_life.h One life of a target, from its start to its end: what everything that is known of it belongs to. */
+/** @file target_life.h Identity of one incarnation of a target: its id and the start time of its process. */
 
 #pragma once
 
@@ -11,22 +11,22 @@
 namespace cottonspool {
 
 /**
- * A target may start again under the id that it had. Nothing of its former life is true of it then: runs, load, copies, prompts read,
- * failures, departures. So every table of the core, and all news between instances, name lives.
+ * One incarnation of a target. A target may restart under the same id; its runs, load, backups, caches and failures don't outlive the
+ * process, so all tables and all updates between instances refer to incarnations.
  */
 struct TargetLife {
-	std::string id;    ///< Id under which it is listed.
-	uint64_t born = 0; ///< Start of this life by its own clock, in milliseconds since the epoch; 0 if it tells none.
+	std::string id;    ///< Id of the target in the target list.
+	uint64_t born = 0; ///< Start time of the process by the target's clock, in milliseconds since the Unix epoch; 0 if unknown.
 
 	auto operator<=>(const TargetLife &) const = default;
 
 	/**
-	 * @return Its name: the id, and where it tells its start, that in a short form. Two lives of an id have the same one only if they
-	 *         began a multiple of 25 days apart, to the millisecond; news name lives often, and the whole number takes twice as many bytes.
+	 * @return The name: the id and, if known, a short form of the start time, as "id@start". The short form wraps around after about
+	 *         25 days; it is used because names are frequent in messages between instances.
 	 */
 	std::string Name() const;
 
-	/** @return Whether a target that tells \a told as its start is another life than this one. */
+	/** @return Whether the start time \a told belongs to another incarnation than this one; false if either is unknown. */
 	bool IsOther(uint64_t told) const { return this->born != 0 && told != 0 && told != this->born; }
 };
 
--- a/src/decision/target_limit.cpp
+++ b/src/decision/target_limit.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_limit.cpp The limit that a target names with its answers. */
+/** @file target_limit.cpp Rate limit that a target advertises in its answers. */
 
 #include "decision/target_limit.h"
 
@@ -13,7 +13,7 @@
 	bool loosens = this->named && (!names || signs.limit_per_s > this->per_second);
 	if (loosens && asked <= this->heard) return false;
 	bool changed = names != this->named || (names && signs.limit_per_s != this->per_second);
-	// What was lent by a higher limit is more than the lower one bears.
+	// Borrowed shares were computed from the higher limit.
 	if (names && this->named && signs.limit_per_s < this->per_second) this->leases.DropBorrowed();
 	this->named = names;
 	if (!names) return changed;
--- a/src/decision/target_limit.h
+++ b/src/decision/target_limit.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_limit.h The limit that a target names with its answers, and this instance's share of it. */
+/** @file target_limit.h Rate limit that a target advertises in its answers, and this instance's share of it. */
 
 #pragma once
 
@@ -10,87 +10,91 @@
 
 namespace cottonspool {
 
-/** Span in which a target that names a limit counts what it gets. */
+/** Window in which a target counts requests against the rate limit that it advertises. */
 constexpr Duration LIMIT_SPAN = std::chrono::seconds(4);
 
-/** One target's limit: the requests a second that it takes from all instances together, for as long as its answers say so. */
+/** Rate limit of one target: the requests per second that it accepts from all instances together, while its answers advertise it. */
 class TargetLimit {
 public:
 	/**
-	 * The target answered a request that was asked at \a asked. Answers on several connections overtake each other, so one that names no
-	 * limit, or a higher one, counts only if it was asked after the limit was last heard; one that names a lower limit counts at once.
+	 * Handle an answer to a request that was sent at \a asked. Answers on several connections can arrive out of order, so the limit is
+	 * raised or removed only if the request was sent after the latest advertisement, but lowered at once.
 	 * @return Whether the limit has changed.
 	 */
 	bool OnAnswer(const TargetSigns &signs, TimePoint asked, TimePoint now);
 
-	/** From now on this instance may send \a to_keep while a limit is named. */
+	/** Set this instance's own share of the limit. */
 	void SetShare(RateShare to_keep)
 	{
 		this->share = to_keep;
 		this->gate.SetWindow(to_keep.window);
 	}
 
-	/** @return This instance's own share, of which it may have lent parts. */
+	/** @return This instance's own share, including what it has lent. */
 	const RateShare &Share() const { return this->share; }
 
-	/** @return Parts of the limit that this instance has lent and borrowed. */
+	/** @return The shares of the limit that this instance has lent and borrowed. */
 	const LimitLeases &Leases() const { return this->leases; }
 
-	/** @return What this instance may send in a window at \a now: its own share without what it has lent, and what it has borrowed. */
+	/** @return Requests per window that this instance may send: its own share, less what it has lent, plus what it has borrowed. */
 	uint32_t Allowance(TimePoint now) const
 	{
 		uint32_t lent = this->leases.Lent(now);
 		return this->share.most - std::min(this->share.most, lent) + this->leases.Borrowed(now);
 	}
 
-	/** \a borrower wants \a wanted requests in a window; this instance itself wants \a own. @return What it gets. */
+	/**
+	 * Lend a part of this instance's share.
+	 * @param wanted Requests per window that \a borrower asks for.
+	 * @param own Requests per window that this instance needs itself.
+	 * @return Requests per window that are lent.
+	 */
 	uint32_t Lend(const std::string &borrower, uint32_t wanted, uint32_t own, TimePoint now)
 	{
 		LeaseSource source{this->share.most, this->gate.SentLately(now), own, this->gate.Window()};
 		return this->named ? this->leases.Lend(borrower, wanted, source, now) : 0;
 	}
 
-	/** @return Whether this instance asks for parts of others' shares, if its callers could use \a demand requests in a window. */
+	/** @return Whether this instance needs leases from other instances for a demand of \a demand requests per window. */
 	bool WantsLeases(uint32_t demand, TimePoint now) const
 	{
 		return this->leases.Borrowed(now) > 0 || LimitLeases::IsShort(demand, this->Allowance(now));
 	}
 
-	/** @return What this instance asks \a owners for, which hold the shares of the limit, if its callers could use \a demand in a window.
-	 */
+	/** @return The lease requests to send to \a owners, which have shares of the limit, for a demand of \a demand requests per window. */
 	std::vector<LeaseAsk> Ask(const std::vector<std::string> &owners, uint32_t demand, TimePoint now)
 	{
 		return this->leases.Ask(owners, demand, this->Allowance(now), now);
 	}
 
-	/** \a owner has answered ask \a number with \a granted. */
+	/** Handle the answer of \a owner to lease request \a number, which grants \a granted requests per window. */
 	void OnGranted(const std::string &owner, uint64_t number, uint32_t granted) { this->leases.OnGranted(owner, number, granted); }
 
-	/** @return Whether the target names a limit. */
+	/** @return Whether the target advertises a limit. */
 	bool IsNamed() const { return this->named; }
 
-	/** @return When it was last named. */
+	/** @return When the limit was last advertised. */
 	TimePoint HeardAt() const { return this->heard; }
 
-	/** @return What it bears; of use only while a limit is named. */
+	/** @return The limit; only meaningful while one is advertised. */
 	RateBound Bound() const { return {this->per_second, LIMIT_SPAN}; }
 
-	/** @return Whether this instance may send it a request at \a now. */
+	/** @return Whether this instance may send a request at \a now. */
 	bool MaySend(TimePoint now) const { return !this->named || this->gate.SentLately(now) < this->Allowance(now); }
 
-	/** @return When this instance may send it a request at the earliest, unless the limit changes; max() if it has no share. */
+	/** @return Earliest time at which this instance may send a request; max() if it has no share. */
 	TimePoint FreeAt(TimePoint now) const { return this->named ? this->gate.FreeAt(this->Allowance(now), now) : now; }
 
-	/** This instance sends it a request: what was sent shortly before a limit was named is part of the span as well. */
+	/** Count a request that this instance sends, also while no limit is advertised, as the window of a new limit reaches back. */
 	void OnSent(TimePoint now) { this->gate.OnSent(now); }
 
 private:
-	RateShare share{0, LIMIT_SPAN}; ///< This instance's own share.
-	RateGate gate{LIMIT_SPAN};      ///< What it has sent.
-	LimitLeases leases;             ///< Parts of shares lent and borrowed.
-	bool named = false;             ///< A limit is named.
-	double per_second = 0;          ///< Requests a second.
-	TimePoint heard;                ///< When it was last named.
+	RateShare share{0, LIMIT_SPAN}; ///< This instance's own share of the limit.
+	RateGate gate{LIMIT_SPAN};      ///< Requests that this instance sent lately.
+	LimitLeases leases;             ///< Shares lent and borrowed.
+	bool named = false;             ///< Whether a limit is advertised.
+	double per_second = 0;          ///< The limit, in requests per second.
+	TimePoint heard;                ///< Time of the latest advertisement.
 };
 
 } // namespace cottonspool
--- a/src/decision/target_places.cpp
+++ b/src/decision/target_places.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_places.cpp Which targets may get new work by where they are, whether they are cold, and what they say of themselves. */
+/** @file target_places.cpp Admission to targets by data hall, cold start, pauses and rate limits. */
 
 #include "decision/place_table.h"
 #include "decision/target_table.h"
@@ -33,7 +33,7 @@
 	for (TargetNumber number : this->ForModel(call.model)) {
 		BoundVerdict verdict = Judge(this->Get(number), call, now);
 		(*counts)[static_cast<size_t>(verdict.bound)]++;
-		// A probe may end, and a first report may come, at any moment.
+		// A probe can end and a first report can arrive at any time.
 		bool soon = verdict.IsFree() || verdict.bound == Bound::Probed || verdict.bound == Bound::Unlisted;
 		free_at = std::min(free_at, soon ? now : verdict.until);
 	}
@@ -43,7 +43,7 @@
 bool TargetTable::OnSigns(TargetNumber target, const TargetSigns &signs, TimePoint asked, TimePoint now)
 {
 	TargetState &state = this->targets[target.value];
-	// A shorter pause that is asked for later takes nothing from a longer one.
+	// A later, shorter pause does not cut a longer one short.
 	state.bounds.paused_until = std::max(state.bounds.paused_until, now + signs.pause);
 	return state.bounds.limit.OnAnswer(signs, asked, now);
 }
--- a/src/decision/target_reading.cpp
+++ b/src/decision/target_reading.cpp
@@ -1,16 +1,16 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_reading.cpp How long engines need for the prompts that they have not read yet. */
+/** @file target_reading.cpp Estimate of the prefill rate and of the time until pending prefills are done. */
 
 #include "decision/target_table.h"
 #include <algorithm>
 
 namespace cottonspool {
 
-static constexpr uint32_t PROMPT_RATE_LEAST = 256;    ///< Shortest prompt that tells how fast prompts are read.
-static constexpr double PROMPT_RATE_SMOOTHING = 0.05; ///< Weight of the newest such figure.
-static constexpr double PROMPT_RATE_MIN = 500;        ///< Least such figure believed, in tokens a second.
-static constexpr double PROMPT_RATE_MAX = 50000;      ///< Largest such figure believed, in tokens a second.
+static constexpr uint32_t PROMPT_RATE_LEAST = 256;    ///< Minimum prompt length, in tokens, for a sample of the prefill rate.
+static constexpr double PROMPT_RATE_SMOOTHING = 0.05; ///< Weight of the newest sample.
+static constexpr double PROMPT_RATE_MIN = 500;        ///< Lower bound of a sample, in tokens per second.
+static constexpr double PROMPT_RATE_MAX = 50000;      ///< Upper bound of a sample, in tokens per second.
 
 void TargetTable::NotePromptSent(TargetState &target, InFlightCall &flight, TimePoint now) const
 {
--- a/src/decision/target_registry.cpp
+++ b/src/decision/target_registry.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_registry.cpp Which listed targets may be used. */
+/** @file target_registry.cpp Lifecycle of the targets in the target list. */
 
 #include "decision/target_registry.h"
 #include <algorithm>
@@ -24,7 +24,7 @@
 	entry.missing = entry.departed = true;
 	entry.usable = false;
 	entry.usable_until = TimePoint{};
-	// One that left is still finishing what it has, until it ends.
+	// A draining target still finishes its runs until it terminates, so the event is needed even if it was not usable.
 	if (was_usable || !entry.ended) events.push_back({TargetChange::Ended, entry.target, source});
 	entry.ended = true;
 }
@@ -32,10 +32,10 @@
 void TargetRegistry::Note(const ListedTarget &target, bool whole, TimePoint now, std::vector<TargetEvent> &events)
 {
 	std::string name = target.life.Name();
-	// A row of a life that has ended, told late: the one that followed it stays.
+	// A late row of an incarnation that has terminated.
 	auto known = this->entries.find(name);
 	if (known != this->entries.end() && known->second.ended) return;
-	// A change is the target's own word; in the whole list its row may be what a copy of the store had not forgotten.
+	// A change is written by the target itself, but a row in the full list may come from the backup that the store was restored from.
 	bool doubted = known != this->entries.end() && known->second.missing && now < known->second.doubted_until;
 	if (doubted && whole && target.sequence <= known->second.target.sequence) {
 		known->second.listed_anew = true;
@@ -53,7 +53,7 @@
 	entry.missing = entry.listed_anew = false;
 	entry.departed = entry.departed || target.leaving;
 	if (added) entry.usable = !entry.departed;
-	// A departed target that changes its row again says nothing new.
+	// Later changes of a draining target's row don't matter.
 	if (was_departed) return;
 	this->Judge(entry, target.leaving ? "notice" : "listed", changed, now, events);
 }
@@ -71,7 +71,7 @@
 
 void TargetRegistry::NoteAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events)
 {
-	// Many rows that go at once without notice have lapsed while the store was away, even if its absence went unnoticed here.
+	// Many rows that disappear at once without notice expired during a store outage, even if this instance did not notice the outage.
 	auto unannounced = [](const Entry *entry) { return !entry->missing && !entry->departed; };
 	size_t newly = static_cast<size_t>(std::count_if(gone.begin(), gone.end(), unannounced));
 	auto usable = std::count_if(this->entries.begin(), this->entries.end(), [](const auto &entry) { return entry.second.usable; });
--- a/src/decision/target_registry.h
+++ b/src/decision/target_registry.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_registry.h Which listed targets may be used: departures are final, and an outage of the list is not a departure. */
+/** @file target_registry.h Lifecycle of the targets in the target list: usable, draining, terminated. */
 
 #pragma once
 
@@ -9,88 +9,87 @@
 
 namespace cottonspool {
 
-/** What became of a target. */
+/** State change of a target. */
 enum class TargetChange : uint8_t {
-	Usable,  ///< New, changed or back: may be used as described.
-	Leaving, ///< Gets nothing new; what runs there may still finish or move.
-	Ended,   ///< Has ended: what was under way there has failed, and may have run.
+	Usable,  ///< The target is new, has changed or is available again.
+	Leaving, ///< The target gets no new requests; its runs may finish or migrate.
+	Ended,   ///< The target has terminated; its runs have failed.
 };
 
 /** One change of the registry. */
 struct TargetEvent {
-	TargetChange change = TargetChange::Usable; ///< What became of it.
-	ListedTarget target;                        ///< Target as last seen.
-	const char *source = "";                    ///< What told it, for logs.
+	TargetChange change = TargetChange::Usable;
+	ListedTarget target;     ///< The target as last listed.
+	const char *source = ""; ///< Origin of the information, for logs.
 };
 
-/** One row of the list: what a target says of itself, or that its row is gone. */
+/** One row of the target list, or the removal of a row. */
 struct TargetRow {
-	std::string id;                     ///< Id under which it is listed.
-	std::optional<ListedTarget> target; ///< What it says; nothing when the row is gone.
+	std::string id;                     ///< Id of the target.
+	std::optional<ListedTarget> target; ///< Content of the row; nothing if it was removed.
 };
 
-/** Times of the registry. */
+/** Parameters of the registry. */
 struct RegistryLimits {
-	Duration lapse_grace = std::chrono::seconds(2); ///< Time after the store's return in which live targets re-enter their rows.
-	Duration remembered = std::chrono::minutes(2);  ///< Time for which a departed target's name is remembered.
+	Duration lapse_grace = std::chrono::seconds(2); ///< Time after a store outage for which targets with an expired row remain usable.
+	Duration remembered = std::chrono::minutes(2);  ///< Time for which terminated targets and those without a row are remembered.
 	/**
-	 * Time after the return of a store from a copy in which a row of it names no target that was gone before: what the copy had not
-	 * forgotten yet is removed again, and a target that leaves without notice serves on for many seconds.
+	 * Time after a restore of the store from a backup for which its rows of targets that were already gone are ignored: the backup may
+	 * contain targets that have left since.
 	 */
 	Duration copy_doubted = std::chrono::seconds(30);
-	size_t lapse_least = 3;   ///< Rows gone without notice at once from which it may be a lapse.
-	double lapse_part = 0.34; ///< Part of all usable targets from which it is taken for one.
+	size_t lapse_least = 3;   ///< Minimum number of rows that must disappear at once to be taken for expired ones.
+	double lapse_part = 0.34; ///< Minimum fraction of the usable targets for the same.
 };
 
 /**
- * Targets as the list shows them, each life by itself. One that said it leaves never becomes usable again, nor does one after which
- * another life of its id was listed. One whose row is missing is gone, unless the store was away just before: rows lapse then, and live
- * targets write theirs again. A store that comes back from a copy lists targets that had gone, and lacks some that live: the former
- * are believed once they write their row again, the latter get the time for it.
+ * Tracks the incarnations of all listed targets. A draining or superseded incarnation never becomes usable again. A target without a
+ * row is not usable, except shortly after a store outage, in which the rows of live targets expire. After a restore of the store from
+ * a backup, targets that were already gone are ignored until they update their row, and missing ones get time to write theirs.
  */
 class TargetRegistry {
 public:
 	explicit TargetRegistry(RegistryLimits limits) : limits(limits) {}
 
-	/** The whole list was read. */
+	/** Handle the full list. */
 	std::vector<TargetEvent> OnAll(const std::vector<TargetRow> &rows, TimePoint now);
 
-	/** Rows were written or removed. */
+	/** Handle written and removed rows. */
 	std::vector<TargetEvent> OnChanges(const std::vector<TargetRow> &rows, TimePoint now);
 
 	/**
-	 * The life \a name of a target itself says that it leaves, ahead of the list: final, whatever the list shows then or later.
-	 * @param source What told it, for logs.
+	 * Handle a drain notice from the target incarnation \a name itself, which is final, whatever the list shows.
+	 * @param source Origin of the notice, for logs.
 	 */
 	std::vector<TargetEvent> OnOwnNotice(const std::string &name, const char *source, TimePoint now);
 
-	/** Another life answers where the life \a name of a target was. */
+	/** Handle an answer from another incarnation at the address of the target incarnation \a name. */
 	std::vector<TargetEvent> OnOtherLife(const std::string &name, TimePoint now);
 
-	/** The store answers again. */
+	/** Handle the end of a store outage. */
 	void OnStoreRegained(TimePoint now);
 
-	/** The store has come back from a copy; the whole list follows. */
+	/** Handle a restore of the store from a backup; OnAll() is called next. */
 	void OnOtherStore(TimePoint now);
 
-	/** Time has passed. */
+	/** Apply timeouts and forget old targets. */
 	std::vector<TargetEvent> OnTick(TimePoint now);
 
-	/** @return Targets remembered. */
+	/** @return Number of incarnations that are remembered. */
 	size_t Size() const { return this->entries.size(); }
 
 private:
-	/** One target. */
+	/** One target incarnation. */
 	struct Entry {
-		ListedTarget target;      ///< As last seen.
-		bool departed = false;    ///< Said that it leaves, or has ended: final.
-		bool ended = false;       ///< Its end was told.
-		bool missing = false;     ///< Its row is gone.
-		bool usable = true;       ///< As last told.
-		TimePoint missing_since;  ///< When its row went.
-		TimePoint usable_until;   ///< While its row is missing after an outage: used until then.
-		TimePoint doubted_until;  ///< It was gone before the store came back from a copy: a row as it was is not believed until then.
-		bool listed_anew = false; ///< Such a row is in the list.
+		ListedTarget target;      ///< The target as last listed.
+		bool departed = false;    ///< Whether it is draining or has terminated; final.
+		bool ended = false;       ///< Whether its termination was reported.
+		bool missing = false;     ///< Whether its row is missing.
+		bool usable = true;       ///< Whether it was last reported as usable.
+		TimePoint missing_since;  ///< When its row disappeared.
+		TimePoint usable_until;   ///< Until then it is usable without a row, after a store outage.
+		TimePoint doubted_until;  ///< Until then an unchanged row is ignored, after a restore of the store.
+		bool listed_anew = false; ///< Whether such a row is in the list.
 	};
 
 	void End(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
@@ -99,10 +98,10 @@
 	void Note(const ListedTarget &target, bool whole, TimePoint now, std::vector<TargetEvent> &events);
 	void NoteAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events);
 
-	RegistryLimits limits;                     ///< Times.
-	std::map<std::string, Entry> entries;      ///< Lives of targets by name.
-	std::map<std::string, std::string> newest; ///< The life that was listed last, by id.
-	TimePoint lapse_until;                     ///< Until then missing rows may come back.
+	RegistryLimits limits;
+	std::map<std::string, Entry> entries;      ///< Incarnations by name.
+	std::map<std::string, std::string> newest; ///< Name of the latest incarnation of each target, by id.
+	TimePoint lapse_until;                     ///< Until then missing rows are taken for expired ones.
 };
 
 } // namespace cottonspool
--- a/src/decision/target_signs.h
+++ b/src/decision/target_signs.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_signs.h What a target says of itself with an answer. */
+/** @file target_signs.h Signals of a target about itself in the headers of an answer: rate limit, drain notice, pause. */
 
 #pragma once
 
@@ -10,31 +10,31 @@
 
 namespace cottonspool {
 
-/** A word that an answer may carry. */
+/** Presence of a header in an answer. */
 enum class SignState : uint8_t {
-	Absent,     ///< The answer does not carry it.
-	Said,       ///< It does.
-	Unreadable, ///< It does, in a form that means nothing: neither said nor taken back.
+	Absent,     ///< The header is missing.
+	Said,       ///< The header is present and valid.
+	Unreadable, ///< The header is malformed: its former value stays in force.
 };
 
-/** What a target says of itself with one answer. */
+/** The signals in one answer. */
 struct TargetSigns {
-	SignState limit = SignState::Absent; ///< Whether it names a limit.
-	double limit_per_s = 0;              ///< Requests a second that it takes from all instances together.
-	bool leaving = false;                ///< It leaves: it wants nothing new.
-	Duration pause{0};       ///< It turned this request away and wants nothing from this instance for so long; zero for no pause.
-	bool unreadable = false; ///< Some word could not be read.
+	SignState limit = SignState::Absent; ///< Whether the answer advertises a rate limit.
+	double limit_per_s = 0;              ///< Requests per second that the target accepts from all instances together.
+	bool leaving = false;                ///< Whether the target is draining.
+	Duration pause{0};       ///< Time for which the target, which rejected the request, wants none from this instance; zero for no pause.
+	bool unreadable = false; ///< Whether any of the headers is malformed.
 
 	bool operator==(const TargetSigns &) const = default;
 };
 
-/** What a target has said of itself, as one instance tells it to the others. Pauses are not told: each is for one instance. */
+/** Signals of a target as shared between instances. Pauses are left out, as they apply to a single instance. */
 struct SignNews {
-	std::string target;                      ///< Life of a target, by name.
-	bool leaving = false;                    ///< It has said that it leaves.
-	SignState limit = SignState::Unreadable; ///< Whether it names a limit; Unreadable where nothing is told of it.
-	double limit_per_s = 0;                  ///< The limit, in requests a second.
-	Duration asked_ago{0};                   ///< Age of the request whose answer said so.
+	std::string target;                      ///< Name of the target incarnation.
+	bool leaving = false;                    ///< Whether the target is draining.
+	SignState limit = SignState::Unreadable; ///< Whether the target advertises a rate limit; Unreadable if the update does not concern it.
+	double limit_per_s = 0;                  ///< The rate limit, in requests per second.
+	Duration asked_ago{0};                   ///< Time since the request was sent whose answer had the signals.
 };
 
 } // namespace cottonspool
--- a/src/decision/target_sums.cpp
+++ b/src/decision/target_sums.cpp
@@ -1,12 +1,12 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_sums.cpp What is at targets, summed up, for other data halls and from them. */
+/** @file target_sums.cpp Load of targets, including the load that other data halls publish. */
 
 #include "decision/target_table.h"
 
 namespace cottonspool {
 
-static constexpr Duration TOLD_LIFE = std::chrono::milliseconds(1500); ///< Time after which what a hall told of its calls is forgotten.
+static constexpr Duration TOLD_LIFE = std::chrono::milliseconds(1500); ///< Time after which the load published by a hall is ignored.
 
 HeldLoad TargetTable::KnownAt(const TargetState &target)
 {
@@ -26,7 +26,7 @@
 		told.tokens += load.held.tokens;
 		told.calls += load.held.calls;
 	}
-	// A report is older than what halls tell, and what they tell may lack calls that came by a move: neither may be less.
+	// Reports can be older than the halls' figures, and those can lack migrated calls, so the larger value is used.
 	return {std::max(reported.tokens, told.tokens), std::max(reported.calls, told.calls)};
 }
 
--- a/src/decision/target_table.cpp
+++ b/src/decision/target_table.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_table.cpp What one instance knows of its targets. */
+/** @file target_table.cpp Load accounting and headroom of targets. */
 
 #include "decision/target_table.h"
 #include "core/hash_func.h"
@@ -9,16 +9,17 @@
 
 namespace cottonspool {
 
-static constexpr uint32_t RESIDUAL_REFRESH_TOKENS = 16;                ///< Tokens after which the expected rest of a call is computed anew.
-static constexpr double GROWTH_ON_PREEMPTION = 1.25;                   ///< Factor on the reserved growth after a report with preemptions.
-static constexpr double GROWTH_ON_QUIET = 0.98;                        ///< Factor on the reserved growth after a report without.
-static constexpr double SHARE_ON_PREEMPTION = 0.5;                     ///< Factor on the share factor after a report with preemptions.
-static constexpr double SHARE_ON_QUIET = 1.03;                         ///< Factor on the share factor after a report without.
-static constexpr double INTERVAL_SMOOTHING = 0.05;                     ///< Weight of the newest time between tokens.
-static constexpr double RESIDUAL_SMOOTHING = 0.02;                     ///< Weight of the newest residual.
-static constexpr Duration SENT_PREFIX_LIFE = std::chrono::seconds(10); ///< Time for which a prefix sent is believed to be cached.
-static constexpr size_t MAX_SENT_PREFIXES = 64;                        ///< Most of them remembered.
-static constexpr double TURN_PART = 0.5;                               ///< Part of the headroom that goes to one instance in turn.
+static constexpr uint32_t RESIDUAL_REFRESH_TOKENS =
+        16;                                          ///< Output tokens after which the expected remaining output of a call is recomputed.
+static constexpr double GROWTH_ON_PREEMPTION = 1.25; ///< Factor on TargetState::growth after a report with preemptions.
+static constexpr double GROWTH_ON_QUIET = 0.98;      ///< Factor on TargetState::growth after a report without preemptions.
+static constexpr double SHARE_ON_PREEMPTION = 0.5;   ///< Factor on TargetState::share_factor after a report with preemptions.
+static constexpr double SHARE_ON_QUIET = 1.03;       ///< Factor on TargetState::share_factor after a report without preemptions.
+static constexpr double INTERVAL_SMOOTHING = 0.05;   ///< Weight of the newest sample in the token interval.
+static constexpr double RESIDUAL_SMOOTHING = 0.02;   ///< Weight of the newest sample in the mean remaining output.
+static constexpr Duration SENT_PREFIX_LIFE = std::chrono::seconds(10); ///< Time for which the prefix of a sent call is taken for cached.
+static constexpr size_t MAX_SENT_PREFIXES = 64;                        ///< Maximum number of such prefixes per target.
+static constexpr double TURN_PART = 0.5; ///< Fraction of the headroom that goes to a single instance, in rotation.
 
 TargetNumber TargetTable::Configure(std::string_view name, std::string_view hall, const std::vector<ModelNumber> &models, bool engine)
 {
@@ -36,7 +37,7 @@
 	bool same = target.bounds.known && target.models == wanted;
 	target.models = std::move(wanted);
 	target.bounds.known = true;
-	// Each configuration names every target again: thousands of them would rebuild the index thousands of times.
+	// A new configuration contains every target again, so the index is rebuilt only for actual changes.
 	if (!same) this->RebuildIndex();
 	return entry->second;
 }
@@ -175,7 +176,7 @@
 	if (found == source.in_flight.end() || from == to) return;
 	InFlightCall flight = std::move(found->second);
 	source.in_flight.erase(found);
-	// How its run would have ended there is not told any more.
+	// The run's outcome will not be seen here, so it no longer counts as a probe.
 	source.bounds.probing = false;
 	if (flight.generated == 0) this->NotePromptRead(source, flight, now);
 	double held = flight.call.prompt_tokens + flight.generated;
--- a/src/decision/target_table.h
+++ b/src/decision/target_table.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_table.h What one instance knows of its targets: reports, its own calls in flight, health, departures. */
+/** @file target_table.h State of the targets as seen by one instance: load reports, calls in flight, health, restrictions. */
 
 #pragma once
 
@@ -14,261 +14,261 @@
 
 namespace cottonspool {
 
-/** Limits of admission and of the judgement of targets. */
+/** Parameters of admission to targets and of outlier ejection. */
 struct TargetLimits {
-	std::array<double, SERVICE_CLASS_COUNT> fill{0.97, 0.93, 0.75}; ///< Part of a target's memory each class may plan to fill.
-	Duration report_stale = std::chrono::seconds(6);                ///< Age at which a report says nothing any more.
-	double growth_start = 0.7;                                      ///< Part of the expected growth that is reserved, at first.
-	double share_max = 6;                                           ///< Most times its equal share that an instance may take of headroom.
-	double growth_min = 0.1;                                        ///< Least part reserved.
-	double growth_max = 2.0;                                        ///< Largest part reserved.
-	uint32_t eject_unreached = 2;                  ///< Calls in a row that could not be sent after which a target is ejected.
-	uint32_t eject_failures = 3;                   ///< Failures in a row after which a target is ejected.
-	Duration eject_base = std::chrono::seconds(1); ///< First ejection; doubles up to eject_max.
-	Duration eject_max = std::chrono::seconds(30); ///< Longest ejection.
-	double slow_factor = 3.0;                      ///< Token interval against the median from which a target is shown as slow.
-	bool use_shares = true;                        ///< Keep to a share of reported headroom.
-	bool use_growth_feedback = true;               ///< Adapt the reserved growth to preemptions.
+	std::array<double, SERVICE_CLASS_COUNT> fill{0.97, 0.93, 0.75}; ///< Fraction of a target's memory for each class.
+	Duration report_stale = std::chrono::seconds(6);                ///< Age at which a load report is ignored.
+	double growth_start = 0.7;                                      ///< Initial fraction of the expected output that is reserved.
+	double share_max = 6;                          ///< Maximum share of the headroom for an instance, as a multiple of an equal share.
+	double growth_min = 0.1;                       ///< Minimum fraction that is reserved.
+	double growth_max = 2.0;                       ///< Maximum fraction that is reserved.
+	uint32_t eject_unreached = 2;                  ///< Consecutive failed connects after which a target is ejected.
+	uint32_t eject_failures = 3;                   ///< Consecutive failed calls after which a target is ejected.
+	Duration eject_base = std::chrono::seconds(1); ///< Duration of the first ejection; doubles with each further one.
+	Duration eject_max = std::chrono::seconds(30); ///< Maximum duration of an ejection.
+	double slow_factor = 3.0;                      ///< Ratio of a target's token interval to the median above which the target is slow.
+	bool use_shares = true;                        ///< Whether each instance uses only a share of the reported headroom.
+	bool use_growth_feedback = true;               ///< Whether the reserved fraction adapts to preemptions.
 };
 
-/** How a target behaved towards one call. */
+/** Result of one call for the health of its target. */
 enum class TargetConduct : uint8_t {
-	Well,        ///< It answered.
-	TurnedAway,  ///< It asked for a pause: neither good nor bad.
-	Failed,      ///< It answered with a failure, or broke off.
-	Unreachable, ///< No connection to it came up.
+	Well,        ///< The target answered.
+	TurnedAway,  ///< The target asked for a pause; does not affect its health.
+	Failed,      ///< The target answered with a failure or broke off.
+	Unreachable, ///< No connection to the target could be established.
 };
 
-/** One call in flight at a target: of this instance, or of another that told it. */
+/** A call in flight at a target, of this instance or of a peer. */
 struct InFlightCall {
-	CallSpec call;            ///< The call.
-	uint32_t generated = 0;   ///< Tokens seen so far.
-	double residual = 0;      ///< Expected tokens still to come, when last computed.
+	CallSpec call;
+	uint32_t generated = 0;   ///< Output tokens so far.
+	double residual = 0;      ///< Expected remaining output tokens.
 	TimePoint sent;           ///< When it was sent.
-	TimePoint last_token;     ///< When the last token came.
-	bool reads_alone = false; ///< No other known prompt was unread when it was sent: its first token tells the rate.
+	TimePoint last_token;     ///< When the last token arrived.
+	bool reads_alone = false; ///< Whether no other known prefill was pending when it was sent, so that its time gives the prefill rate.
 };
 
-/** What calls hold at a target. */
+/** Load of a set of calls at a target. */
 struct HeldLoad {
-	double tokens = 0;  ///< Memory, in tokens.
-	uint32_t calls = 0; ///< Calls.
+	double tokens = 0;  ///< Memory in use, in tokens.
+	uint32_t calls = 0; ///< Number of calls.
 };
 
-/** What another data hall told of its calls at a target. */
+/** Load of the calls of another data hall at a target, as published by that hall. */
 struct ToldLoad {
-	HeldLoad held;   ///< What they hold.
-	TimePoint heard; ///< When it was told.
+	HeldLoad held;
+	TimePoint heard; ///< When it was received.
 };
 
-/** One target as seen by this instance. */
+/** State of one target as seen by this instance. */
 struct TargetState {
-	std::string name;                     ///< Name in the configuration.
-	std::string hall;                     ///< Data hall it stands in.
-	bool engine = true;                   ///< Generates tokens; false for a plain service, whose capacity is counted in calls.
-	std::set<ModelNumber> models;         ///< Models (or the service) it answers for.
-	TargetBounds bounds;                  ///< What keeps requests from it.
-	LoadReport report;                    ///< Last report.
-	TimePoint report_at;                  ///< When the last report came.
-	double known_at_report = 0;           ///< Tokens of known calls that the last report already counts.
-	uint32_t known_calls_at_report = 0;   ///< Known calls that the last report already counts.
-	double sent_since_report = 0;         ///< Need of known calls sent since the last report was made.
-	double copied_since_report = 0;       ///< Tokens of copies kept there that no report tells yet.
-	double growth = 0.7;                  ///< Part of the expected growth that is reserved.
-	double share_factor = 2;              ///< Times its equal share that this instance may take of reported headroom.
-	double known_tokens = 0;              ///< Tokens held by known calls: own ones and those that peers told.
-	double known_residual = 0;            ///< Expected further tokens of known calls.
-	uint32_t unread_prompts = 0;          ///< Known calls whose prompt is not read yet.
-	TimePoint prompts_read_at;            ///< When all prompts sent so far are expected to be read.
-	std::map<std::string, ToldLoad> told; ///< Calls of other data halls here, as those tell them.
-	TimePoint told_read_at;               ///< When all prompts here are expected to be read, as its hall tells.
-	bool slow = false;                    ///< Much slower than the median of its like; see RefreshSlow().
-	double median_interval = 0;           ///< Median time between tokens of its like, in seconds; 0 while unknown.
+	std::string name;                     ///< Unique name.
+	std::string hall;                     ///< Data hall of the target.
+	bool engine = true;                   ///< Whether it is an engine; false for a service, whose capacity is counted in calls.
+	std::set<ModelNumber> models;         ///< Models (or the service) that it serves.
+	TargetBounds bounds;                  ///< Restrictions on requests to it.
+	LoadReport report;                    ///< Latest load report.
+	TimePoint report_at;                  ///< When the latest report arrived.
+	double known_at_report = 0;           ///< Tokens of known calls that are included in the latest report.
+	uint32_t known_calls_at_report = 0;   ///< Number of known calls that are included in the latest report.
+	double sent_since_report = 0;         ///< Expected memory of known calls sent since the latest report, in tokens.
+	double copied_since_report = 0;       ///< Tokens of backups made since the latest report.
+	double growth = 0.7;                  ///< Fraction of the expected remaining output that is reserved.
+	double share_factor = 2;              ///< Share of the reported headroom for this instance, as a multiple of an equal share.
+	double known_tokens = 0;              ///< Tokens in memory of known calls, which are those of this instance and its peers.
+	double known_residual = 0;            ///< Expected remaining output tokens of known calls.
+	uint32_t unread_prompts = 0;          ///< Known calls without a first token.
+	TimePoint prompts_read_at;            ///< Expected end of the prefills of all known calls.
+	std::map<std::string, ToldLoad> told; ///< Load of the calls of other data halls, by hall.
+	TimePoint told_read_at;               ///< Expected end of all prefills, as published by the target's own hall.
+	bool slow = false;                    ///< Whether it is much slower than the median; see RefreshSlow().
+	double median_interval = 0;           ///< Median time between tokens of the targets for the same model, in seconds; 0 while unknown.
 	double interval = 0;                  ///< Smoothed time between tokens, in seconds; 0 while unknown.
-	uint32_t failures = 0;                ///< Failures in a row.
-	uint32_t unreached = 0;               ///< Calls in a row that could not be sent to it.
-	uint32_t ejections = 0;               ///< Ejections in a row.
-	std::set<uint64_t> reported_prefixes; ///< Prefixes that the last report said to be cached.
-	std::deque<std::pair<uint64_t, TimePoint>> sent_prefixes; ///< Prefixes of own calls sent lately: soon cached, though not yet reported.
+	uint32_t failures = 0;                ///< Consecutive failed calls.
+	uint32_t unreached = 0;               ///< Consecutive failed connects.
+	uint32_t ejections = 0;               ///< Consecutive ejections.
+	std::set<uint64_t> reported_prefixes; ///< Cached prefixes according to the latest report.
+	std::deque<std::pair<uint64_t, TimePoint>> sent_prefixes;         ///< Prefixes of calls sent lately.
 	std::unordered_map<CallId, InFlightCall, StrongIdHash> in_flight; ///< Known calls.
 };
 
-/** All targets of one instance. */
+/** All targets of one instance, by number. */
 class TargetTable {
 public:
 	TargetTable(TargetLimits limits, LengthEstimate &lengths) : limits(limits), lengths(lengths) {}
 
-	/** Add a target or change what the configuration says of it. @return Its number. */
+	/** Add a target or update its configuration. @return Its number. */
 	TargetNumber Configure(std::string_view name, std::string_view hall, const std::vector<ModelNumber> &models, bool engine = true);
 
-	/** The configuration no longer names \a target: nothing new goes there, what is in flight finishes. */
+	/** Remove \a target from the configuration: it gets no new calls, and those in flight finish. */
 	void Forget(TargetNumber target);
 
-	/** Nothing new to \a target. Sticky: only a new incarnation or ClearLeaving() ends it. */
+	/** Mark \a target as draining until ClearLeaving(). */
 	void MarkLeaving(TargetNumber target);
 
-	/** The configuration says that \a target may be used again. */
+	/** Mark \a target as no longer draining. */
 	void ClearLeaving(TargetNumber target);
 
-	/** The halls \a halls are emptied, and no others. */
+	/** Set the evacuated data halls. */
 	void SetEmptiedHalls(const std::set<std::string> &halls);
 
-	/** \a target is cold until \a end at least; meanwhile this instance sends it no more than \a share. */
+	/** Limit the requests of this instance to \a target to \a share until \a end, during its cold start. */
 	void SetCold(TargetNumber target, TimePoint end, RateShare share);
 
-	/** \a target answered a request that was asked at \a asked, and says \a signs of itself. @return Whether its limit has changed. */
+	/** Handle the signals in an answer of \a target to a request sent at \a asked. @return Whether its rate limit has changed. */
 	bool OnSigns(TargetNumber target, const TargetSigns &signs, TimePoint asked, TimePoint now);
 
-	/** While \a target names a limit, this instance sends it no more than \a share. */
+	/** Set this instance's share of the rate limit of \a target. */
 	void SetLimitShare(TargetNumber target, RateShare share) { this->targets[target.value].bounds.limit.SetShare(share); }
 
-	/** @return What this instance asks \a owners for of the limit that \a target names; see TargetLimit::Ask(). */
+	/** @return The lease requests to send to \a owners for the rate limit of \a target; see TargetLimit::Ask(). */
 	std::vector<LeaseAsk> AskLeases(TargetNumber target, const std::vector<std::string> &owners, uint32_t demand, TimePoint now)
 	{
 		return this->targets[target.value].bounds.limit.Ask(owners, demand, now);
 	}
 
-	/** @return What \a borrower gets of this instance's share of the limit that \a target names; see TargetLimit::Lend(). */
+	/** Lend \a borrower a part of this instance's share of the rate limit of \a target; see TargetLimit::Lend(). */
 	uint32_t Lend(TargetNumber target, const std::string &borrower, uint32_t wanted, uint32_t own, TimePoint now)
 	{
 		return this->targets[target.value].bounds.limit.Lend(borrower, wanted, own, now);
 	}
 
-	/** \a owner has answered ask \a number with \a granted. */
+	/** Handle the answer of \a owner to lease request \a number; see TargetLimit::OnGranted(). */
 	void OnGranted(TargetNumber target, const std::string &owner, uint64_t number, uint32_t granted)
 	{
 		this->targets[target.value].bounds.limit.OnGranted(owner, number, granted);
 	}
 
-	/** @return Whether \a target may get \a call at \a now: it is usable, in a hall where the call may run, and bears one more. */
+	/** @return Whether no restriction keeps \a call from \a target at \a now. */
 	bool MayGet(const TargetState &target, const CallSpec &call, TimePoint now) const { return Judge(target, call, now).IsFree(); }
 
-	/** @return What keeps \a call from \a target at \a now, and until when. */
+	/** @return The restriction that keeps \a call from \a target at \a now, if any. */
 	static BoundVerdict Judge(const TargetState &target, const CallSpec &call, TimePoint now);
 
 	/**
-	 * @param counts Set to the number of the model's targets for which each bound holds.
-	 * @return When a target may get \a call at the earliest; max() where time alone brings none, \a now where one may get it already.
+	 * @param counts Receives the number of the model's targets under each restriction.
+	 * @return Earliest time at which a target may get \a call; \a now if one may get it already, max() if no restriction expires by itself.
 	 */
 	TimePoint FreeAt(const CallSpec &call, TimePoint now, BoundCounts *counts) const;
 
-	/** A request of this instance goes to \a target: a new one, a second try, or a run that goes on there. */
+	/** Count a request of this instance to \a target: a first attempt, a retry or a migrated run. */
 	void NoteRequest(TargetNumber target, TimePoint now);
 
-	/** Take in a load report that arrived at \a now. Older ones than the last are dropped. */
+	/** Handle a load report that arrived at \a now; reports older than the latest are dropped. */
 	void OnReport(TargetNumber target, const LoadReport &report, TimePoint now);
 
-	/** A service that never reports is usable with \a slots calls at once. */
+	/** Make \a target, a service without load reports, usable with a capacity of \a slots concurrent calls. */
 	void SetUnreported(TargetNumber target, uint64_t slots);
 
-	/** This instance sends \a call to \a target. */
+	/** Handle the sending of \a call of this instance to \a target. */
 	void OnSent(TargetNumber target, const CallSpec &call, TimePoint now);
 
 	/**
-	 * A call of a peer, or a copy of a run, is at \a target from now on.
-	 * @param generated Tokens that it has made elsewhere: its prompt needn't be read then.
+	 * Handle the sending of a peer's call, or of the backup of a run, to \a target.
+	 * @param generated Tokens generated on another target; if any, no prefill is needed.
 	 */
 	void OnForeignSent(TargetNumber target, const CallSpec &call, TimePoint now, uint32_t generated = 0);
 
-	/** \a tokens of \a call came at once. */
+	/** Handle the arrival of \a tokens output tokens of \a call from \a target. */
 	void OnToken(TargetNumber target, CallId call, TimePoint now, uint32_t tokens = 1);
 
-	/** The run of \a call goes on at \a to instead of \a from. */
+	/** Handle the migration of the run of \a call. */
 	void OnMoved(TargetNumber from, TargetNumber to, CallId call, TimePoint now);
 
-	/** \a call has ended at \a target, which behaved as \a conduct tells. @return Tokens generated. */
+	/** Handle the end of \a call at \a target and update the target's health. @return Output tokens of the call. */
 	uint32_t OnEnded(TargetNumber target, CallId call, TargetConduct conduct, TimePoint now);
 
-	/** \a tokens of a call that a peer told came at \a target; their times say nothing of its speed. */
+	/** Handle output tokens of a peer's call; they don't affect the target's measured token interval. */
 	void OnForeignToken(TargetNumber target, CallId call, TimePoint now, uint32_t tokens);
 
-	/** The instances of \a hall hold \a held at targets, and nothing at others. */
+	/** Handle the load of the calls of \a hall at all targets, as published by that hall. */
 	void OnToldByHall(const std::string &hall, const std::map<TargetNumber, HeldLoad> &held, TimePoint now);
 
-	/** Its hall tells that \a target has read all prompts there at \a read_at. */
+	/** Set the expected end of all prefills of \a target, as published by its hall. */
 	void NoteToldWait(TargetNumber target, TimePoint read_at) { this->targets[target.value].told_read_at = read_at; }
 
-	/** @return What all calls hold at \a target, as far as can be told here. */
+	/** @return Estimated load of all calls at \a target. */
 	HeldLoad HeldAt(const TargetState &target, TimePoint now) const;
 
-	/** @return What calls of this instance and its peers hold at \a target. */
+	/** @return Load of the calls of this instance and its peers at \a target. */
 	static HeldLoad KnownAt(const TargetState &target);
 
-	/** A call that a peer told has ended at \a target; how it ended says nothing of its health. */
+	/** Handle the end of a peer's call; it does not affect the target's health. */
 	void OnForeignEnded(TargetNumber target, CallId call, TimePoint now);
 
-	/** @return Memory, in tokens, that this instance may still plan to fill at \a target with calls like \a call. */
+	/** @return Memory of \a target, in tokens, that this instance may still fill with calls of the class of \a call. */
 	double Allowance(const TargetState &target, const CallSpec &call, TimePoint now) const;
 
-	/** @return Memory, in tokens, that \a call is planned to need at \a target. */
+	/** @return Memory, in tokens, to reserve at \a target for \a call. */
 	double Need(const TargetState &target, const CallSpec &call) const;
 
-	/** @return Whether \a prefix is believed to be cached at \a target. */
+	/** @return Whether \a prefix is probably cached at \a target. */
 	static bool HasPrefix(const TargetState &target, uint64_t prefix);
 
-	/** @return Expected time until \a target has read the prompts of known calls that are there. */
+	/** @return Expected time until the pending prefills of known calls at \a target are done. */
 	static Duration ReadingWait(const TargetState &target, TimePoint now);
 
-	/** @return Expected time until \a call, sent to \a target now, has its first token: prompts are read one after another. */
+	/** @return Expected time to first token of \a call if it is sent to \a target now; prefills are assumed to run one after another. */
 	Duration FirstTokenWait(const TargetState &target, const CallSpec &call, TimePoint now) const;
 
-	/** @return Expected output tokens of \a call from its start. */
+	/** @return Expected output length of \a call, in tokens. */
 	double ExpectedRest(const CallSpec &call) const { return call.generated ? this->lengths.Residual(call, 0) : 0; }
 
-	/** A copy of a run, expected to grow to \a tokens, is kept at \a target from now on; its reports tell it from then on. */
+	/** Handle the backup of a run, with an expected size of \a tokens, at \a target; counted until the next report includes it. */
 	void OnBackup(TargetNumber target, double tokens) { this->targets[target.value].copied_since_report += tokens; }
 
-	/** @return Prompt tokens that an engine reads in a second, as learned. */
+	/** @return Learned prefill rate of an engine, in tokens per second. */
 	double PromptRate() const { return this->prompt_rate; }
 
-	/** @return The part of the target's memory that is planned to be filled, 0 to above 1. */
+	/** @return Memory in use and reserved at \a target, relative to its capacity; above 1 if it is overcommitted. */
 	double Pressure(const TargetState &target, TimePoint now) const;
 
-	/** Find anew which targets are much slower than the median of their like; to be called about once a second. */
+	/** Update which targets are much slower than the median; to be called about once a second. */
 	void RefreshSlow();
 
-	/** This instance is number \a rank of \a count instances that share the targets. */
+	/** Set the index of this instance among the \a count instances that share the targets. */
 	void SetInstances(uint32_t rank, uint32_t count);
 
 	/** @return The state of \a target. */
 	const TargetState &Get(TargetNumber target) const { return this->targets[target.value]; }
 
-	/** @return Number of targets ever known. */
+	/** @return Number of targets, including removed ones. */
 	uint32_t Size() const { return static_cast<uint32_t>(this->targets.size()); }
 
 	/** @return The number of the target \a name, or nothing. */
 	std::optional<TargetNumber> Find(std::string_view name) const;
 
-	/** @return Targets that the configuration names for \a model. */
+	/** @return The configured targets for \a model. */
 	const std::vector<TargetNumber> &ForModel(ModelNumber model) const;
 
 private:
-	/** @return Whether it is this instance's turn at \a target; turns go round with its reports. */
+	/** @return Whether this instance gets the larger share of the headroom of \a target until the target's next report. */
 	bool HasTurn(const TargetState &target) const;
 	void RebuildIndex();
 	void UpdateGrowth(TargetState &target, const LoadReport &report);
-	/** @return Whether \a target may be ejected: never more than half of the targets of a model are. */
+	/** @return Whether \a target may be ejected: at most half of the targets of a model may be ejected or draining. */
 	bool MayEject(const TargetState &target, TimePoint now) const;
 	void Eject(TargetState &target, TimePoint now);
 	void EjectUnreachable(TargetState &target, TimePoint now);
 	double OthersCommitted(const TargetState &target, TimePoint now) const;
-	/** @return What calls of others hold at \a target: as its report tells, or other halls. */
+	/** @return Estimated load of unknown calls at \a target, from its report and from other data halls. */
 	static HeldLoad OthersAt(const TargetState &target, TimePoint now);
 	void AddTokens(TargetState &target, InFlightCall &flight, TimePoint now, uint32_t tokens);
 	uint32_t TakeOut(TargetState &target, CallId call, TimePoint now);
 	void NotePromptSent(TargetState &target, InFlightCall &flight, TimePoint now) const;
 	void NotePromptRead(TargetState &target, const InFlightCall &flight, TimePoint now);
 
-	TargetLimits limits;                                              ///< Limits.
-	LengthEstimate &lengths;                                          ///< Expected lengths.
+	TargetLimits limits;
+	LengthEstimate &lengths;                                          ///< Output length estimate.
 	std::vector<TargetState> targets;                                 ///< Targets by number.
 	std::unordered_map<std::string, TargetNumber> numbers;            ///< Numbers by name.
-	std::set<std::string> emptied_halls;                              ///< Halls that are emptied.
-	std::unordered_map<uint32_t, std::vector<TargetNumber>> by_model; ///< Targets of each model.
-	uint32_t rank = 0;                                                ///< Rank of this instance.
-	uint32_t instances = 1;                                           ///< Instances that share the targets.
-	double mean_residual = 128;                                       ///< Smoothed residual of known calls, for the calls of others.
-	double prompt_rate = 7000;                                        ///< Prompt tokens read in a second, between the tokens of others.
+	std::set<std::string> emptied_halls;                              ///< Evacuated data halls.
+	std::unordered_map<uint32_t, std::vector<TargetNumber>> by_model; ///< Configured targets by model.
+	uint32_t rank = 0;                                                ///< Index of this instance among them.
+	uint32_t instances = 1;                                           ///< Number of instances that share the targets.
+	double mean_residual = 128; ///< Smoothed expected remaining output of a call, used for unknown calls.
+	double prompt_rate = 7000;  ///< Smoothed prefill rate, in tokens per second.
 };
 
 } // namespace cottonspool
