--- a/src/tests/call_queue_test.cpp
+++ b/src/tests/call_queue_test.cpp
@@ -1,13 +1,13 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call_queue_test.cpp Calls that wait for one pool do not hold up those for another. */
+/** @file call_queue_test.cpp Guards against calls for one pool that block calls for another in the queue. */
 
 #include "decision/dispatcher.h"
 #include <doctest/doctest.h>
 
 using namespace cottonspool;
 
-TEST_CASE("Queue - a plain call does not wait behind a generation that waits for room")
+TEST_CASE("Queue - a service call is not blocked by a generation that waits for headroom")
 {
 	Dispatcher dispatcher({}, MakeRouter("headroom", 1, {.use_press = false}));
 	TimePoint now{std::chrono::seconds(10)};
--- a/src/tests/dispatcher_test.cpp
+++ b/src/tests/dispatcher_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file dispatcher_test.cpp What the decisions about calls always keep, under any order of events. */
+/** @file dispatcher_test.cpp Guards against dispatch decisions that break an invariant: duplicate runs, lost calls, too many retries. */
 
 #include "decision/dispatcher.h"
 #include <algorithm>
@@ -14,17 +14,17 @@
 
 namespace {
 
-/** What the shell knows of one call. */
+/** State of one call as seen by the caller of the dispatcher. */
 struct TrackedCall {
-	CallSpec spec;                      ///< The call.
-	std::optional<TargetNumber> holder; ///< Target that has it.
-	bool over = false;                  ///< Ended, given up or withdrawn.
-	bool in_doubt = false;              ///< A send ended in doubt.
-	int sends = 0;                      ///< Sends that count as attempts.
-	std::set<uint32_t> failed_at;       ///< Targets at which a send ended badly.
+	CallSpec spec;
+	std::optional<TargetNumber> holder; ///< Target to which it was sent.
+	bool over = false;                  ///< Whether it has finished or was rejected.
+	bool in_doubt = false;              ///< Whether an attempt ended with an unknown outcome.
+	int sends = 0;                      ///< Number of attempts.
+	std::set<uint32_t> failed_at;       ///< Targets at which an attempt failed.
 };
 
-/** A dispatcher under random events, with a shell that checks every decision. */
+/** Feeds random events to a dispatcher and checks every decision. */
 class DispatcherWorld {
 public:
 	explicit DispatcherWorld(uint32_t seed, const char *router = "headroom") : random(seed), dispatcher(Limits(), MakeRouter(router, seed))
@@ -44,7 +44,7 @@
 		return limits;
 	}
 
-	/** One random event. */
+	/** Generate one random event. */
 	void Step()
 	{
 		this->now += milliseconds(this->random() % 40);
@@ -68,7 +68,7 @@
 		}
 	}
 
-	/** Let all that is in flight end well, and time pass beyond every deadline. */
+	/** Complete all calls in flight, let all deadlines pass, and check that nothing is left. */
 	void Finish()
 	{
 		for (int i = 0; i < 200; i++) {
@@ -81,7 +81,7 @@
 		RC_ASSERT(this->dispatcher.InFlight() == 0U);
 	}
 
-	std::string trace; ///< Every decision, to compare runs.
+	std::string trace; ///< All decisions, to compare runs.
 
 private:
 	void Submit()
@@ -150,7 +150,7 @@
 		if (!leaves) this->dispatcher.Targets().ClearLeaving(target);
 	}
 
-	/** A target says something of itself: a limit, the end of one, a pause. */
+	/** Generate random signals of a target: a rate limit, its removal, a pause. */
 	void Say()
 	{
 		if (this->random() % 4 != 0) return;
@@ -189,7 +189,7 @@
 		}
 	}
 
-	/** @return Whether every target at which \a call has not failed is out of use. */
+	/** @return Whether no target may get \a call other than those at which it failed. */
 	bool NoOtherThan(const TrackedCall &call) const
 	{
 		return std::all_of(this->targets.begin(), this->targets.end(), [&](TargetNumber target) {
@@ -198,13 +198,13 @@
 		});
 	}
 
-	pcg32 random;                               ///< Chance.
-	Dispatcher dispatcher;                      ///< Under test.
-	std::vector<TargetNumber> targets;          ///< Targets.
-	std::vector<TrackedCall> calls;             ///< Calls.
-	TimePoint now{std::chrono::seconds(1000)};  ///< Clock.
-	uint64_t reports = 0;                       ///< Reports made.
-	std::map<uint32_t, TimePoint> paused_until; ///< Ends of pauses asked for, by target.
+	pcg32 random;
+	Dispatcher dispatcher; ///< Dispatcher under test.
+	std::vector<TargetNumber> targets;
+	std::vector<TrackedCall> calls;             ///< All calls, by id.
+	TimePoint now{std::chrono::seconds(1000)};  ///< Simulated time.
+	uint64_t reports = 0;                       ///< Number of load reports.
+	std::map<uint32_t, TimePoint> paused_until; ///< End of the pause of each target.
 };
 
 CallSpec MakeCall(uint64_t id, uint32_t account, TimePoint now)
@@ -220,7 +220,7 @@
 
 } // namespace
 
-TEST_CASE("Dispatcher - one target at a time, nothing after the end, no doubtful repeat, nothing to who leaves, nothing forgotten")
+TEST_CASE("Dispatcher - one target per call, no retry with unknown outcome unless repeatable, none to draining targets, no lost calls")
 {
 	bool good = rc::check("events", [](uint32_t seed) {
 		DispatcherWorld world(seed);
@@ -243,7 +243,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Dispatcher - retries stay within a tenth of the first sends and the saved burst when every send fails")
+TEST_CASE("Dispatcher - retries stay within the retry budget when every attempt fails")
 {
 	DispatchLimits limits;
 	limits.targets.eject_failures = 1000000;
@@ -271,7 +271,7 @@
 	CHECK(sends <= 2000 + dispatcher.Counters().retries);
 }
 
-TEST_CASE("Queue - a flood of one account does not keep another's call waiting behind it")
+TEST_CASE("Queue - a flood of one account does not delay the calls of another")
 {
 	CallQueue queue({});
 	TimePoint now(std::chrono::seconds(10));
@@ -289,7 +289,7 @@
 	CHECK(before <= 1);
 }
 
-TEST_CASE("Queue - order, sizes and deadlines agree after any pushes, takes and removals")
+TEST_CASE("Queue - size and deadlines stay consistent under any sequence of operations")
 {
 	bool good = rc::check("sizes", [](uint32_t seed) {
 		pcg32 random(seed);
@@ -323,8 +323,8 @@
 	CHECK(good);
 }
 
-TEST_CASE("Targets - instances with one stale report together plan to fill no more than their share factor allows, and after preemptions "
-          "no more than is free")
+TEST_CASE("Targets - instances with the same report together reserve at most the free memory times the share factor, and at most the "
+          "free memory after preemptions")
 {
 	bool good = rc::check("shares", [] {
 		auto instances = *rc::gen::inRange<uint32_t>(2, 42);
@@ -360,7 +360,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Lengths - what is learned of an account and of all accounts sets the expected rest")
+TEST_CASE("Lengths - the expected remaining length is learned from the account and from all accounts")
 {
 	LengthEstimate lengths({});
 	CallSpec call = MakeCall(1, 1, TimePoint{});
@@ -377,7 +377,7 @@
 	CHECK(lengths.Residual(call, 20) <= 30);
 }
 
-TEST_CASE("Dispatcher - a run moves inside its hall while an engine there has room, whichever hall its caller prefers")
+TEST_CASE("Dispatcher - a run migrates within its data hall while an engine there has headroom")
 {
 	Dispatcher dispatcher({}, MakeRouter("headroom", 1));
 	TimePoint now{std::chrono::seconds(10)};
@@ -392,7 +392,7 @@
 	REQUIRE(decisions.sends.size() == 1);
 	TargetNumber holder = decisions.sends[0].target;
 	TargetNumber neighbour = holder == targets[0] ? targets[1] : targets[0];
-	// The neighbour holds more than the engine in the other hall, and is still the faster place to copy to.
+	// The neighbour has more load than the engine in the other hall, but the copy to it is faster.
 	CallSpec other = MakeCall(2, 1, now);
 	other.prompt_tokens = 8000;
 	dispatcher.Targets().OnSent(neighbour, other, now);
@@ -402,7 +402,7 @@
 	CHECK(!dispatcher.ChooseMove(run.id, {neighbour, targets[2]}, now));
 }
 
-TEST_CASE("Dispatcher - runs that leave an engine are copied one after another, those that hold less first")
+TEST_CASE("Dispatcher - runs that migrate from an engine are copied one after another, the smallest first")
 {
 	Dispatcher dispatcher({}, MakeRouter("headroom", 1));
 	TimePoint now{std::chrono::seconds(10)};
@@ -410,7 +410,7 @@
 	dispatcher.Targets().SetUnreported(engine, 40000);
 	EnginePool pool;
 	pool.bytes_per_token = 20000;
-	pool.link_mbps = 1600; // 10,000 tokens a second.
+	pool.link_mbps = 1600; // 10,000 tokens per second.
 	auto run = [&](uint64_t id, uint32_t prompt, uint32_t most) {
 		CallSpec call = MakeCall(id, 1, now);
 		call.prompt_tokens = prompt;
@@ -421,18 +421,18 @@
 	REQUIRE(dispatcher.Submit(run(2, 3000, 200), now).sends.size() == 1);
 	CallSpec short_run = run(3, 500, 8);
 	REQUIRE(dispatcher.Submit(short_run, now).sends.size() == 1);
-	// A run of another instance counts as well.
+	// A run of another instance is taken into account as well.
 	dispatcher.Targets().OnSent(engine, run(1ULL << 62, 2000, 200), now);
 	Duration least = milliseconds(300);
 	CHECK(dispatcher.CopyWait(CallId{1}, pool, least) == Duration(0));
 	CHECK(dispatcher.CopyWait(CallId{2}, pool, least) == milliseconds(300));
-	// One that ends before its turn is not waited for; with an unknown link nothing is.
+	// A run that is about to end is not copied; with an unknown bandwidth there is no delay.
 	CHECK(dispatcher.CopyWait(CallId{2}, pool, Duration(0)) == milliseconds(350));
 	CHECK(dispatcher.CopyWait(CallId{2}, EnginePool{}, least) == Duration(0));
 	CHECK(dispatcher.CopyWait(CallId{9}, pool, least) == Duration(0));
 }
 
-TEST_CASE("Dispatcher - instances that share the retries beyond the usual ones make no more together than one alone may")
+TEST_CASE("Dispatcher - instances that share the retry burst together make no more retries than a single one may")
 {
 	for (size_t instances : {1, 8, 78, 200, 400, 2000}) {
 		constexpr double SLACK = 200;
@@ -463,7 +463,7 @@
 	}
 }
 
-TEST_CASE("Dispatcher - without pressing a generation waits for room at an engine, and a plain call still goes to a full service")
+TEST_CASE("Dispatcher - without overcommit a generation waits for headroom, while a service call is sent to a full service")
 {
 	for (bool generated : {true, false}) {
 		Dispatcher dispatcher({}, MakeRouter("headroom", 1, {.use_press = false}));
--- a/src/tests/explain_log_test.cpp
+++ b/src/tests/explain_log_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file explain_log_test.cpp From a request's id to its cause, by log lines alone. */
+/** @file explain_log_test.cpp Guards against a wrong or missing cause when `explain` reads the logs of gateways. */
 
 #include "operator/explain_log.h"
 #include <doctest/doctest.h>
@@ -11,14 +11,14 @@
 
 namespace {
 
-/** @return A log line. */
+/** @return A log line, preceded by text as a log collector adds it. */
 std::string Line(int at_ms, const std::string &instance, const std::string &event, const std::string &fields)
 {
 	return R"(  12.5 node {"at_ms":)" + std::to_string(at_ms) + R"(,"event":")" + event + R"(","instance":")" + instance +
 	       R"(","level":"info",)" + fields + "}\n";
 }
 
-/** @return The story of \a request in \a log. */
+/** @return The trace of \a request in \a log. */
 RequestStory StoryOf(const std::string &request, const std::string &log)
 {
 	RequestStory story(request);
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("Explain - a stream that was lost with an engine that left names the engine, its notice and the move that failed")
+TEST_CASE("Explain - the cause of a stream lost with a draining engine names the engine, the notice and the failed migration")
 {
 	std::string log = Line(1000, "g1", "received", R"("request":"r1","route":"stream")") +
 	                  Line(1001, "g1", "sent", R"("request":"r1","target":"e1")") +
@@ -47,7 +47,7 @@
 	CHECK(story.Text().find("source=removed") == std::string::npos);
 }
 
-TEST_CASE("Explain - a refusal under load, an unknown route and an unknown outcome each name their cause")
+TEST_CASE("Explain - overload, an unknown route and an unknown outcome have distinct causes")
 {
 	std::string log = Line(1, "g1", "received", R"("request":"full")") +
 	                  Line(300, "g1", "finished", R"("request":"full","outcome":"deadline-passed","status":"503","ms":"299")") +
@@ -56,7 +56,7 @@
 	                  Line(9, "g1", "send-ended", R"("request":"lost","target":"s1","sent":"maybe","cause":"reset by the other side")") +
 	                  Line(9, "g1", "finished", R"("request":"lost","outcome":"answer-lost","status":"502","ms":"3")") +
 	                  Line(20, "g1", "received", R"("request":"open")");
-	// What was learned only after the loss is not its cause.
+	// A notice that arrived after the loss is not its cause.
 	std::string late = Line(10, "g1", "target-leaving", R"("target":"s1","source":"lapsed")");
 	CHECK(StoryOf("lost", log + late).Cause().find("leave") == std::string::npos);
 	CHECK(StoryOf("full", log).Cause() == "answered with 503 after 299 ms: no target had room within the time it could wait");
@@ -67,7 +67,7 @@
 	CHECK(!StoryOf("unknown", log).IsKnown());
 }
 
-TEST_CASE("Explain - a log may hold any bytes")
+TEST_CASE("Explain - a log may contain arbitrary bytes")
 {
 	CHECK(rc::check("bytes", [](const std::string &bytes) {
 		RequestStory story = StoryOf("r", bytes + "\n{\"event\":" + bytes);
--- a/src/tests/overload_test.cpp
+++ b/src/tests/overload_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file overload_test.cpp What callers get of a load of three times what the engines can take, played through the decisions. */
+/** @file overload_test.cpp Guards against a Retry-After so short that callers come back into the same overload and are rejected again. */
 
 #include "decision/dispatcher.h"
 #include <doctest/doctest.h>
@@ -13,19 +13,19 @@
 
 namespace {
 
-/** What became of the callers. */
+/** Results of a simulation. */
 struct BurstOutcome {
-	int callers = 0;          ///< Callers.
-	int returned = 0;         ///< Those that were refused, and came back when they were told to.
-	int served_late = 0;      ///< Those of them that were served then.
-	int refused_twice = 0;    ///< Those that were refused again: they give up.
-	int most_at_once = 0;     ///< Most that came back within 100 ms.
-	Duration longest_held{0}; ///< Longest time for which a caller waited for a refusal.
+	int callers = 0;          ///< Number of callers.
+	int returned = 0;         ///< Callers that were rejected and came back after the Retry-After.
+	int served_late = 0;      ///< Callers that were served after they came back.
+	int refused_twice = 0;    ///< Callers that were rejected again after they came back.
+	int most_at_once = 0;     ///< Maximum number of callers that came back in one step.
+	Duration longest_held{0}; ///< Longest time until a rejection.
 };
 
 /**
- * Four engines that hold ten generations each, of 2.5 s: 16 a second. Three times as many callers come for a while, then half as many.
- * A caller who is refused comes back once, when it was told to, but not later than a third of its 39 s.
+ * Simulation of four engines that each hold ten generations of 2.5 s, which gives a capacity of 16 per second. The load is three times
+ * the capacity for a while, then half of it. A rejected caller comes back once, after the Retry-After but at most 13 s.
  */
 class BurstWorld {
 public:
@@ -37,7 +37,7 @@
 		}
 	}
 
-	/** Play \a burst of three times the room, then 40 s of half of it. */
+	/** Simulate a \a burst at three times the capacity, then 40 s at half of it. */
 	BurstOutcome Play(Duration burst)
 	{
 		for (TimePoint end = this->now + burst + seconds(40); this->now < end; this->now += STEP) {
@@ -51,7 +51,7 @@
 		return this->outcome;
 	}
 
-	/** Limits as a gateway has them; \a retry_after_max bounds what callers are told. */
+	/** @return Limits as a gateway has them, with a maximum Retry-After of \a retry_after_max. */
 	static DispatchLimits Limits(Duration retry_after_max)
 	{
 		DispatchLimits limits;
@@ -62,14 +62,14 @@
 	}
 
 private:
-	static constexpr int ENGINES = 4;                  ///< Engines.
-	static constexpr double ROOM = 16;                 ///< Generations a second that they can take.
-	static constexpr Duration STEP = milliseconds(25); ///< Time between looks.
+	static constexpr int ENGINES = 4;                  ///< Number of engines.
+	static constexpr double ROOM = 16;                 ///< Capacity, in generations per second.
+	static constexpr Duration STEP = milliseconds(25); ///< Simulation step.
 
-	/** One caller's call. */
+	/** The call of one caller. */
 	struct Caller {
-		CallSpec spec;      ///< Its call.
-		bool again = false; ///< It was refused before.
+		CallSpec spec;
+		bool again = false; ///< Whether it was rejected before.
 	};
 
 	static HeadroomRules Rules()
@@ -138,25 +138,25 @@
 		}
 	}
 
-	pcg64 random;                                ///< Randomness.
-	Dispatcher dispatcher;                       ///< Under test.
-	std::map<uint64_t, Caller> callers;          ///< Callers by call.
-	std::multimap<TimePoint, CallId> runs;       ///< Runs by their end.
-	std::multiset<TimePoint> coming_back;        ///< When those that were refused come back.
-	BurstOutcome outcome;                        ///< What became of them.
-	double due = 0;                              ///< Callers due.
-	uint64_t next_call = 0;                      ///< Number of the next call.
-	uint64_t reports = 0;                        ///< Reports made.
-	TimePoint now = TimePoint{} + seconds(3600); ///< Clock.
+	pcg64 random;
+	Dispatcher dispatcher;                       ///< Dispatcher under test.
+	std::map<uint64_t, Caller> callers;          ///< Callers by id of their call.
+	std::multimap<TimePoint, CallId> runs;       ///< Running calls by the time at which they finish.
+	std::multiset<TimePoint> coming_back;        ///< Times at which rejected callers come back.
+	BurstOutcome outcome;                        ///< Results.
+	double due = 0;                              ///< Fraction of the next arrival.
+	uint64_t next_call = 0;                      ///< Id of the next call.
+	uint64_t reports = 0;                        ///< Number of load reports.
+	TimePoint now = TimePoint{} + seconds(3600); ///< Simulated time.
 };
 
 } // namespace
 
-TEST_CASE("Overload - most callers who are told to come back are served then, while those told the queue's drain were not")
+TEST_CASE("Overload - a Retry-After derived from the age of the overload lets more callers succeed than the queue's drain time")
 {
 	for (Duration burst : {Duration(seconds(4)), Duration(seconds(14)), Duration(seconds(20))}) {
 		BurstOutcome now = BurstWorld(BurstWorld::Limits(seconds(15)), 1).Play(burst);
-		// The queue is bounded by what can still be in time, so its drain is never longer than this.
+		// The queue only holds calls that can meet their deadline, so its drain time never exceeds this Retry-After.
 		BurstOutcome before = BurstWorld(BurstWorld::Limits(milliseconds(400)), 1).Play(burst);
 		MESSAGE("burst of " << Seconds(burst) << " s: " << now.callers << " callers; refused twice " << before.refused_twice << ", now "
 		                    << now.refused_twice << "; served on return " << before.served_late << " of " << before.returned << ", now "
@@ -168,7 +168,7 @@
 	}
 }
 
-TEST_CASE("Refusals - a caller is told four times the age of the load, spread by a quarter, and the drain once the load is over")
+TEST_CASE("Overload - the Retry-After is four times the age of the overload with jitter, and the drain time when the overload is over")
 {
 	RefusalSpan span;
 	TimePoint start = TimePoint{} + seconds(3600);
--- a/src/tests/request_test.cpp
+++ b/src/tests/request_test.cpp
@@ -1,6 +1,7 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file request_test.cpp Callers' requests, targets' reports, metrics and steps: checked and bounded. */
+/** @file request_test.cpp Guards against malformed requests and reports that are accepted, and call traces and metrics that grow forever.
+ */
 
 #include "instance/completion_request.h"
 #include "instance/event_ring.h"
@@ -11,14 +12,14 @@
 
 using namespace cottonspool;
 
-/** @return The name of the field that is wrong in \a body, or an empty text. */
+/** @return The error for the request \a body, or an empty string if it is valid. */
 static std::string WrongWith(const std::string &body, const char *path = "/v1/completions")
 {
 	auto parsed = ParseCompletion(HttpRequest{"POST", path, "", {}, body});
 	return parsed ? "" : parsed.error().reason;
 }
 
-TEST_CASE("Completions - each wrong field is named")
+TEST_CASE("Completions - the error names the invalid field")
 {
 	CHECK(WrongWith("{") == "bad-body");
 	CHECK(WrongWith("[]") == "bad-body");
@@ -43,7 +44,7 @@
 	CHECK(body.find("\"stream\":true") != std::string::npos);
 }
 
-TEST_CASE("Parsers of outside input - any bytes are an error at worst")
+TEST_CASE("Completions - the parsers of external input handle arbitrary bytes")
 {
 	bool good = rc::check("bytes", [](const std::string &bytes) {
 		(void)WrongWith(bytes);
@@ -57,7 +58,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Failures - say what was wrong, whether it ran, and when to come back")
+TEST_CASE("Failures - the body contains the execution state and the retry time")
 {
 	CallFailure failure{503, "wait-too-long", "given up", RanState::No, std::chrono::milliseconds(1500)};
 	std::string body = FailureBody(failure, "r1");
@@ -66,7 +67,7 @@
 	CHECK(FailureEvent(failure, "r1").starts_with("event: error\ndata: {"));
 }
 
-TEST_CASE("Steps - are bounded per call and in calls")
+TEST_CASE("Traces - the number of calls and of events per call is limited")
 {
 	EventRing ring(2);
 	for (int i = 0; i < 100; i++) ring.Add("a", TimePoint{}, "step");
@@ -77,7 +78,7 @@
 	CHECK(ring.Find("c").size() == 1);
 }
 
-TEST_CASE("Metrics - histograms per class and account, the number of accounts bounded")
+TEST_CASE("Metrics - histograms by class and account, with a limited number of accounts")
 {
 	Metrics metrics(2);
 	for (int i = 1; i <= 1000; i++) {
--- a/src/tests/target_health_test.cpp
+++ b/src/tests/target_health_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_health_test.cpp Targets that fail and targets that cannot be reached are taken out, the better ones last. */
+/** @file target_health_test.cpp Guards against ejection of too many targets, of the wrong ones, or without a way back. */
 
 #include "decision/target_table.h"
 #include <doctest/doctest.h>
@@ -9,13 +9,13 @@
 
 namespace {
 
-/** Three plain services of one pool. */
+/** A target table with three services in one pool. */
 struct HealthWorld {
-	LengthEstimate lengths{{}};              ///< Not used by plain services.
-	TargetTable targets{{}, lengths};        ///< Targets.
-	TimePoint now{std::chrono::seconds(10)}; ///< Time.
-	std::vector<TargetNumber> all;           ///< Numbers.
-	uint64_t next = 1;                       ///< Next call.
+	LengthEstimate lengths{{}};              ///< Not used for services.
+	TargetTable targets{{}, lengths};        ///< Table under test.
+	TimePoint now{std::chrono::seconds(10)}; ///< Simulated time.
+	std::vector<TargetNumber> all;           ///< The services.
+	uint64_t next = 1;                       ///< Id of the next call.
 
 	HealthWorld()
 	{
@@ -25,7 +25,7 @@
 		}
 	}
 
-	/** \a times calls are sent to the target \a index and end with \a conduct. */
+	/** Send \a times calls to the target \a index and end them with \a conduct. */
 	void Calls(size_t index, TargetConduct conduct, int times)
 	{
 		for (int i = 0; i < times; i++) {
@@ -41,7 +41,7 @@
 	bool IsUsable(size_t index) const { return this->targets.Get(this->all[index]).bounds.Judge(this->now, false).IsFree(); }
 };
 
-/** @return A generation with \a id. */
+/** @return A generation with the given id. */
 CallSpec MakeCall(uint64_t id)
 {
 	CallSpec call;
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("Targets - one that cannot be reached goes, and one that only failed comes back for it")
+TEST_CASE("Targets - an unreachable target is ejected and reinstates targets that only failed")
 {
 	HealthWorld world;
 	world.Calls(0, TargetConduct::Failed, 3);
@@ -65,7 +65,7 @@
 	CHECK(world.IsUsable(0));
 }
 
-TEST_CASE("Targets - the last one that is left stays, and one that answers again is taken back")
+TEST_CASE("Targets - the last usable target is not ejected, and one that answers again is reinstated")
 {
 	HealthWorld world;
 	for (size_t i = 0; i < 3; i++) world.Calls(i, TargetConduct::Unreachable, 2);
@@ -78,7 +78,7 @@
 	CHECK(world.IsUsable(0));
 }
 
-TEST_CASE("Targets - one that was ejected is tried again, whatever calls of peers, copies and moves pass there meanwhile")
+TEST_CASE("Targets - an ejected target is probed again despite peers' calls and migrations")
 {
 	HealthWorld world;
 	world.Calls(0, TargetConduct::Failed, 3);
@@ -90,7 +90,7 @@
 	CHECK(world.IsUsable(0));
 	world.targets.OnForeignEnded(world.all[0], foreign.id, world.now);
 	CHECK(world.IsUsable(0));
-	// An own call finds out; until then no other goes there.
+	// A call of this instance is the probe; until it ends, no other call is sent.
 	CallSpec own;
 	own.id = CallId{77};
 	world.targets.OnSent(world.all[0], own, world.now);
@@ -99,7 +99,7 @@
 	CHECK(world.IsUsable(0));
 }
 
-TEST_CASE("Targets - a failing target is ejected, probed by one call, and taken back")
+TEST_CASE("Targets - a failing target is ejected, probed by one call, and reinstated")
 {
 	LengthEstimate lengths({});
 	TargetTable targets({}, lengths);
@@ -120,7 +120,7 @@
 		targets.OnSent(other, MakeCall(i), now);
 		targets.OnEnded(other, CallId{i}, TargetConduct::Failed, now);
 	}
-	CHECK(targets.Get(other).bounds.Judge(now, false).IsFree()); // Never more than half are ejected.
+	CHECK(targets.Get(other).bounds.Judge(now, false).IsFree()); // At most half of the targets are ejected.
 	now += std::chrono::milliseconds(1100);
 	CHECK(targets.Get(number).bounds.Judge(now, false).IsFree());
 	targets.OnSent(number, MakeCall(10), now);
--- a/src/tests/target_limit_test.cpp
+++ b/src/tests/target_limit_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_limit_test.cpp The limit that a target names holds for all instances together, for as long as it is named. */
+/** @file target_limit_test.cpp Guards against instances that together exceed the rate limit that a target advertises. */
 
 #include "decision/dispatcher.h"
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** @return What an answer says that names \a per_second; one that names no limit for nothing. */
+/** @return The signals of an answer that advertises a limit of \a per_second; nothing for no limit. */
 static TargetSigns Named(std::optional<double> per_second)
 {
 	TargetSigns signs;
@@ -20,7 +20,7 @@
 	return signs;
 }
 
-/** @return Most of \a arrivals, in any order, that lie within the span of a limit. */
+/** @return Maximum number of \a arrivals, in any order, within one rate limit window. */
 static size_t MostInASpan(std::vector<TimePoint> arrivals)
 {
 	std::sort(arrivals.begin(), arrivals.end());
@@ -32,14 +32,14 @@
 	return most;
 }
 
-TEST_CASE("Limit - one that is named lower counts at once, one that is higher or gone only if it was asked for after it was heard")
+TEST_CASE("Limit - a lower limit applies at once, a higher or removed one only if its request was sent after the last advertisement")
 {
 	TargetLimit limit;
 	TimePoint now{seconds(100)};
 	CHECK(!limit.OnAnswer(Named({}), now - seconds(1), now));
 	CHECK(limit.OnAnswer(Named(3), now - seconds(1), now));
 	CHECK(limit.IsNamed());
-	// An answer that was overtaken.
+	// Answers to requests sent before the last advertisement.
 	CHECK(!limit.OnAnswer(Named({}), now - milliseconds(10), now + milliseconds(10)));
 	CHECK(!limit.OnAnswer(Named(5), now, now + milliseconds(20)));
 	CHECK(limit.OnAnswer(Named(2), now - seconds(1), now + milliseconds(30)));
@@ -54,7 +54,7 @@
 	CHECK(limit.MaySend(now));
 }
 
-TEST_CASE("Limit - what was sent shortly before it was named counts too")
+TEST_CASE("Limit - requests sent before the first advertisement count as well")
 {
 	TargetLimit limit;
 	TimePoint now{seconds(100)};
@@ -67,7 +67,7 @@
 	CHECK(limit.MaySend(now + seconds(4) + milliseconds(250)));
 }
 
-TEST_CASE("Limit - however many instances send all they may, a target gets no more in any four seconds than its limit allows")
+TEST_CASE("Limit - any number of instances together stays within the limit in every window")
 {
 	bool good = rc::check("limits", [] {
 		size_t count = *rc::gen::element<size_t>(1, 6, 62, 295, 370);
@@ -89,7 +89,7 @@
 			}
 		}
 		RC_ASSERT(static_cast<double>(MostInASpan(arrivals)) <= std::max(1.0, Seconds(LIMIT_SPAN) * per_second));
-		// And what it offers is used, as far as that much is tried.
+		// The limit is also used up, as far as there are enough attempts.
 		double tried = static_cast<double>(count) * 24 / 0.12;
 		RC_ASSERT(static_cast<double>(arrivals.size()) >= 0.7 * std::min(24 * per_second, tried));
 	});
@@ -98,7 +98,7 @@
 
 namespace {
 
-/** A dispatcher with three services, and the time. */
+/** A dispatcher with three services. */
 struct LimitWorld {
 	LimitWorld() : dispatcher({}, MakeRouter("headroom", 1))
 	{
@@ -108,14 +108,14 @@
 		}
 	}
 
-	/** \a target names \a per_second; this instance may send it \a share in a span. */
+	/** Let \a target advertise a limit of \a per_second, of which this instance may send \a share requests per window. */
 	void Limit(TargetNumber target, std::optional<double> per_second, uint32_t share)
 	{
 		this->dispatcher.Targets().SetLimitShare(target, {share, LIMIT_SPAN});
 		this->dispatcher.Targets().OnSigns(target, Named(per_second), this->now, this->now);
 	}
 
-	/** A call comes. @return What is decided. */
+	/** Submit a call. @return The decisions. */
 	Decisions Ask()
 	{
 		CallSpec call;
@@ -127,15 +127,15 @@
 		return this->dispatcher.Submit(call, this->now);
 	}
 
-	Dispatcher dispatcher;                ///< Decisions.
-	std::vector<TargetNumber> targets;    ///< Services.
-	uint64_t next = 1;                    ///< Number of the next call.
-	TimePoint now{std::chrono::hours(1)}; ///< Time.
+	Dispatcher dispatcher;                ///< Dispatcher under test.
+	std::vector<TargetNumber> targets;    ///< The services.
+	uint64_t next = 1;                    ///< Id of the next call.
+	TimePoint now{std::chrono::hours(1)}; ///< Simulated time.
 };
 
 } // namespace
 
-TEST_CASE("Limit - what goes beyond goes to targets that name none, and second tries, moves and queued calls keep to it too")
+TEST_CASE("Limit - excess calls go to targets without a limit, else are rejected with the time at which the limit allows one")
 {
 	LimitWorld world;
 	for (int i = 0; i < 2; i++) world.Limit(world.targets[i], 1, 2);
@@ -147,7 +147,7 @@
 	}
 	CHECK(sent[world.targets[0].value] <= 2);
 	CHECK(sent[world.targets[1].value] <= 2);
-	// The last one without a limit goes: what comes now is refused at once, with the time at which there is room.
+	// Without a target that has no limit, calls are rejected at once with the time at which the limit allows the next one.
 	world.dispatcher.Targets().MarkLeaving(world.targets[2]);
 	for (int i = 0; i < 4; i++) world.Ask();
 	world.now += seconds(1);
@@ -158,7 +158,7 @@
 	CHECK(refused.give_ups[0].retry_after >= seconds(3));
 	CHECK(refused.give_ups[0].retry_after <= seconds(5));
 	CHECK(world.dispatcher.Queue().Size() == 0);
-	// One that comes back then is served, and what comes shortly before waits for the room.
+	// A call that arrives shortly before that time waits and is then sent.
 	world.now += seconds(3) - milliseconds(30);
 	CHECK(world.Ask().give_ups.empty());
 	CHECK(world.dispatcher.Queue().Size() == 1);
@@ -166,7 +166,7 @@
 	CHECK(world.dispatcher.OnTick(world.now).sends.size() == 1);
 }
 
-TEST_CASE("Limit - those who are refused together are told different times, none before there is room")
+TEST_CASE("Limit - calls rejected together get different retry times, none before the limit allows one")
 {
 	LimitWorld world;
 	world.dispatcher.Targets().MarkLeaving(world.targets[2]);
--- a/src/tests/target_pause_test.cpp
+++ b/src/tests/target_pause_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_pause_test.cpp A target that asks an instance for a pause gets nothing from it until its end, and is no failed one. */
+/** @file target_pause_test.cpp Guards against requests to a target during a pause it asked for, and against its ejection for the pause. */
 
 #include "decision/dispatcher.h"
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** A dispatcher with two services, and the time. */
+/** A dispatcher with two services. */
 struct PauseWorld {
 	PauseWorld() : dispatcher({}, MakeRouter("headroom", 1))
 	{
@@ -21,7 +21,7 @@
 		}
 	}
 
-	/** \a target turns a request away and asks for \a pause. */
+	/** Let \a target ask for \a pause. */
 	void Pause(TargetNumber target, Duration pause)
 	{
 		TargetSigns signs;
@@ -29,7 +29,7 @@
 		this->dispatcher.Targets().OnSigns(target, signs, this->now, this->now);
 	}
 
-	/** A call comes. @return What is decided. */
+	/** Submit a call. @return The decisions. */
 	Decisions Ask()
 	{
 		CallSpec call;
@@ -41,7 +41,7 @@
 		return this->dispatcher.Submit(call, this->now);
 	}
 
-	/** @return Whether some of many calls that come now go to \a target. */
+	/** @return Whether any of several calls submitted now is sent to \a target. */
 	bool IsUsed(TargetNumber target)
 	{
 		bool used = false;
@@ -53,15 +53,15 @@
 		return used;
 	}
 
-	Dispatcher dispatcher;                ///< Decisions.
-	std::vector<TargetNumber> targets;    ///< Services.
-	uint64_t next = 1;                    ///< Number of the next call.
-	TimePoint now{std::chrono::hours(1)}; ///< Time.
+	Dispatcher dispatcher;                ///< Dispatcher under test.
+	std::vector<TargetNumber> targets;    ///< The services.
+	uint64_t next = 1;                    ///< Id of the next call.
+	TimePoint now{std::chrono::hours(1)}; ///< Simulated time.
 };
 
 } // namespace
 
-TEST_CASE("Pause - until its end nothing goes there, a shorter one takes nothing from a longer one, and then it is used again")
+TEST_CASE("Pause - a paused target gets no calls until the end of its longest pause, and is used again afterwards")
 {
 	PauseWorld world;
 	CHECK(world.IsUsed(world.targets[0]));
@@ -76,7 +76,7 @@
 	CHECK(world.IsUsed(world.targets[0]));
 }
 
-TEST_CASE("Pause - a target that turns requests away with a pause is not ejected, and its own second try goes elsewhere")
+TEST_CASE("Pause - a target that rejects calls with a pause is not ejected, and the calls are retried on another target")
 {
 	PauseWorld world;
 	for (int round = 0; round < 6; round++) {
--- a/src/tests/target_registry_test.cpp
+++ b/src/tests/target_registry_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_registry_test.cpp Departures are final, and an outage of the list is not a departure. */
+/** @file target_registry_test.cpp Guards against draining targets that become usable again, and live ones lost in a store outage. */
 
 #include "decision/target_registry.h"
 #include <doctest/doctest.h>
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("Registry - a target that said it leaves stays out, whatever the list says later")
+TEST_CASE("Registry - a draining target never becomes usable again, whatever the list shows")
 {
 	bool good = rc::check("final", [](const std::vector<uint8_t> &steps) {
 		TargetRegistry registry({});
@@ -76,7 +76,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Registry - a row removed in calm times means that the target is gone at once")
+TEST_CASE("Registry - a target whose row is removed without a store outage is unusable at once")
 {
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
@@ -87,7 +87,7 @@
 	CHECK(events[0].target.life.id == "target-3");
 }
 
-TEST_CASE("Registry - rows that lapsed while the store was away keep their targets for the grace, and no longer")
+TEST_CASE("Registry - rows that expired in a store outage keep their targets usable for the grace period")
 {
 	RegistryLimits limits;
 	TargetRegistry registry(limits);
@@ -96,7 +96,7 @@
 	now += std::chrono::seconds(5);
 	registry.OnStoreRegained(now);
 	CHECK(registry.OnAll({}, now).empty());
-	// Three of them write their rows again in time.
+	// Three targets write their rows again in time.
 	CHECK(registry.OnChanges({Row(0), Row(1), Row(2)}, now + milliseconds(900)).empty());
 	CHECK(registry.OnTick(now + limits.lapse_grace - milliseconds(1)).empty());
 	std::vector<TargetEvent> events = registry.OnTick(now + limits.lapse_grace);
@@ -104,7 +104,7 @@
 	for (const TargetEvent &event : events) CHECK(event.change == TargetChange::Leaving);
 }
 
-TEST_CASE("Registry - rows that lapsed while the store was away keep even a few targets for the grace")
+TEST_CASE("Registry - rows that expired in a store outage keep even a single target usable")
 {
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
@@ -115,7 +115,7 @@
 	CHECK(registry.OnTick(now + milliseconds(2100)).size() == 1);
 }
 
-TEST_CASE("Registry - many rows that go at once without notice are taken for a lapse")
+TEST_CASE("Registry - many rows that disappear at once are taken for expired ones")
 {
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
@@ -127,7 +127,7 @@
 	CHECK(events.size() == 9);
 }
 
-TEST_CASE("Registry - a heartbeat that says nothing new is no event")
+TEST_CASE("Registry - a heartbeat without changes causes no event")
 {
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
@@ -139,14 +139,14 @@
 	CHECK(registry.OnChanges({again}, now).size() == 1);
 }
 
-TEST_CASE("Registry - a target that starts again under its id is another one: usable at once, whatever its former life said")
+TEST_CASE("Registry - a restarted target is a new incarnation, usable at once despite an earlier drain notice")
 {
 	static constexpr uint64_t FIRST = 1000;
 	static constexpr uint64_t SECOND = 2000;
 	TimePoint now{std::chrono::seconds(100)};
 	TargetRegistry registry({});
 	registry.OnAll({Row(0, false, FIRST), Row(1, false, FIRST)}, now);
-	// It said that it leaves, and its row went; the next life is usable, the former one stays departed.
+	// After a drain notice and the removal of the row, a new incarnation is usable.
 	registry.OnChanges({Row(0, true, FIRST)}, now);
 	registry.OnChanges({Gone(0)}, now);
 	std::vector<TargetEvent> events = registry.OnChanges({Row(0, false, SECOND)}, now);
@@ -155,24 +155,24 @@
 	CHECK(events[0].target.life.born == FIRST);
 	CHECK(events[1].change == TargetChange::Usable);
 	CHECK(events[1].target.life.born == SECOND);
-	// A row of the former life that is told late changes nothing.
+	// A late row of the old incarnation is ignored.
 	CHECK(registry.OnChanges({Row(0, false, FIRST)}, now).empty());
-	// One that crashed comes back before its row lapsed: the former life has ended, and that is told before the new one is used.
+	// After a crash and restart before the row expires, the old incarnation is reported as terminated first.
 	events = registry.OnChanges({Row(1, false, SECOND)}, now);
 	REQUIRE(events.size() == 2);
 	CHECK(events[0].change == TargetChange::Ended);
 	CHECK(events[0].target.life.born == FIRST);
 	CHECK(events[1].change == TargetChange::Usable);
 	CHECK(events[1].target.life.born == SECOND);
-	// What is still said of the former life changes nothing for the new one.
+	// A late notice of the old incarnation does not affect the new one.
 	CHECK(registry.OnOwnNotice(TargetLife{"target-1", FIRST}.Name(), "own-notice", now).empty());
 	CHECK(registry.OnTick(now + milliseconds(10)).empty());
-	// Its own notice does.
+	// A notice of the new incarnation does.
 	CHECK(registry.OnOwnNotice(TargetLife{"target-1", SECOND}.Name(), "own-notice", now).size() == 1);
 	CHECK(registry.OnChanges({Row(1, false, SECOND)}, now).empty());
 }
 
-TEST_CASE("Registry - whatever lives follow each other, only the one that was listed last is used, and no life that ended comes back")
+TEST_CASE("Registry - only the latest incarnation is usable, and terminated ones never become usable again")
 {
 	CHECK(rc::check("lives", [](const std::vector<uint8_t> &steps) {
 		TargetRegistry registry({});
