--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file main.cpp Command line of cottonspool. */
+/** @file main.cpp Command line. */
 
 #include "gateway/gateway.h"
 #include "gateway/rule_switches.h"
@@ -13,35 +13,36 @@
 #include <uv.h>
 
 DEFINE_string(settings, "", "serve: TOML file with the settings of the instance");
-DEFINE_string(switch, "", "gateway: mechanisms to switch, separated by commas, to measure what they are worth; help lists them");
-DEFINE_bool(check, false, "serve: only check the settings");
-DEFINE_string(server, "", "operators: instances to ask, http://IP:PORT, separated by commas");
-DEFINE_string(key, "", "operators: key; the environment's COTTONSPOOL_OPERATOR_KEY when not given");
-DEFINE_bool(json, false, "operators: print JSON for programs");
-DEFINE_int32(wait_s, 0, "apply, drain: seconds to wait until it is in force everywhere, or the target empty");
-DEFINE_string(author, "", "drain: who asks; the environment's USER when not given");
-DEFINE_bool(back, false, "drain: take the target back into use");
+DEFINE_string(switch, "", "gateway: mechanisms to switch off or on, separated by commas, to measure their effect; help lists them");
+DEFINE_bool(check, false, "serve, gateway: only check the settings");
+DEFINE_string(server, "", "operator commands: instances to contact, http://IP:PORT, separated by commas");
+DEFINE_string(key, "", "operator commands: operator key; default is the environment variable COTTONSPOOL_OPERATOR_KEY");
+DEFINE_bool(json, false, "status: print JSON");
+DEFINE_int32(wait_s, 0, "apply, drain: seconds to wait until the change is applied everywhere, or the target has no calls in flight");
+DEFINE_string(author, "", "drain: author of the change; default is the environment variable USER");
+DEFINE_bool(back, false, "drain: put the target back into use");
 
 namespace cottonspool {
 
-static const char *const USAGE = R"(cottonspool VERB [ARGUMENT ...] [flags]
+/** Usage message. */
+static const char *const USAGE = R"(cottonspool COMMAND [ARGUMENT ...] [flags]
 
   serve --settings FILE      run an entry instance; --check only checks the settings
-  gateway                    run an instance on the operators' platform, with the settings file that its environment
-                             names or --settings FILE; --check only checks the settings; --switch=NAME,... switches
-                             mechanisms off for a measurement, --switch=help lists them
+  gateway                    run an instance on the operators' platform, with the settings file named by its environment
+                             or by --settings FILE; --check only checks the settings; --switch=NAME,... switches
+                             mechanisms for a measurement, --switch=help lists them
   settings                   print the reference of all settings
-  check FILE                 check a change file and try its policies
-  apply FILE                 have a change accepted; --wait_s waits until it is in force
+  check FILE                 check a change file and test its policies
+  apply FILE                 apply a change; --wait_s waits until it is applied everywhere
   show KIND [NAME]           show records: account, model, target, share, policy
   status                     show the state of the instances given with --server; --json
-  drain TARGET               give a target no new work; --wait_s waits until it is empty; --back
-  explain REQUEST [LOG ...]  show what was decided for a request: by an instance given with --server, or by the logs of gateways
+  drain TARGET               send a target no new calls; --wait_s waits until none are in flight; --back puts it back into use
+  explain REQUEST [LOG ...]  show the decisions for a request, from an instance given with --server or from logs of gateways
 
-Exit codes: 0 done, 1 failed, 2 wrong usage, 3 conflict with another change, 4 not known whether done.
+Exit codes: 0 success, 1 failure, 2 usage error, 3 conflict with another change, 4 outcome unknown.
 All flags: cottonspool --helpfull)";
 
-/** Signals of one instance. */
+/** Signal handles of one instance. */
 struct Signals {
 	uv_signal_t terminate{}; ///< SIGTERM.
 	uv_signal_t interrupt{}; ///< SIGINT.
@@ -60,7 +61,7 @@
 		return EXIT_USAGE;
 	}
 	if (FLAGS_check) {
-		std::cout << FLAGS_settings << ": all right" << std::endl;
+		std::cout << FLAGS_settings << ": settings are valid" << std::endl;
 		return EXIT_OK;
 	}
 	InitLog(settings.value().log_level, settings.value().log_form, settings.value().name);
@@ -91,7 +92,7 @@
 	}
 	std::string path = FLAGS_settings.empty() ? NodeSettingsPath() : FLAGS_settings;
 	if (path.empty()) {
-		std::cerr << "cottonspool: gateway needs the platform's environment or --settings FILE" << std::endl;
+		std::cerr << "cottonspool: gateway needs COTTONSPOOL_NODE_FILE in the environment or --settings FILE" << std::endl;
 		return EXIT_USAGE;
 	}
 	Result<NodeSettings> settings = LoadNodeSettings(path);
@@ -100,7 +101,7 @@
 		return EXIT_USAGE;
 	}
 	if (FLAGS_check) {
-		std::cout << path << ": all right" << std::endl;
+		std::cout << path << ": settings are valid" << std::endl;
 		return EXIT_OK;
 	}
 	GatewayLimits limits = GatewayLimitsFor(settings.value());
@@ -130,7 +131,7 @@
 	return gateway.CutCalls() == 0 ? EXIT_OK : EXIT_FAILED;
 }
 
-/** @return The flags of the operators' verbs. */
+/** @return The options of the operator commands. */
 static OperatorOptions ReadOptions()
 {
 	OperatorOptions options;
@@ -150,7 +151,7 @@
 	return options;
 }
 
-/** Run the verb in \a words. */
+/** Run the command in \a words. @return Exit code. */
 static int RunVerb(const std::vector<std::string> &words)
 {
 	std::string verb = words.empty() ? "" : words[0];
--- a/src/metrics/line_buffer.cpp
+++ b/src/metrics/line_buffer.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file line_buffer.cpp Lines on their way to a reader who may be slow. */
+/** @file line_buffer.cpp Non-blocking buffer for log lines. */
 
 #include "metrics/line_buffer.h"
 #include <algorithm>
@@ -29,7 +29,7 @@
 {
 	size_t done = 0;
 	while (done < this->bytes.size()) {
-		// A pipe that is ready takes PIPE_BUF bytes at once: a write of no more than that does not wait.
+		// A pipe that is ready for writing accepts at least PIPE_BUF bytes, so a write of this size does not block.
 		pollfd ready{this->fd, POLLOUT, 0};
 		if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) break;
 		ssize_t written = write(this->fd, this->bytes.data() + done, std::min<size_t>(this->bytes.size() - done, PIPE_BUF));
--- a/src/metrics/line_buffer.h
+++ b/src/metrics/line_buffer.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file line_buffer.h Lines on their way to a reader who may be slow: bounded, never waited for, drops counted. */
+/** @file line_buffer.h Non-blocking buffer of limited size for log lines; lines that don't fit are dropped and counted. */
 
 #pragma once
 
@@ -10,29 +10,33 @@
 
 namespace cottonspool {
 
-/** Holds lines for one file descriptor. */
+/** Buffers lines for one file descriptor. */
 class LineBuffer {
 public:
+	/**
+	 * @param fd File descriptor to write to.
+	 * @param most Maximum number of buffered bytes.
+	 */
 	LineBuffer(int fd, size_t most) : fd(fd), most(most) {}
 
-	/** Add \a line, without its end, or count it as dropped when there is no room. */
+	/** Add \a line, given without line end, or drop it if the buffer is full. */
 	void Add(std::string_view line);
 
-	/** Write what the reader takes without being waited for. */
+	/** Write as much as possible without blocking. */
 	void Flush();
 
-	/** @return Lines dropped so far. */
+	/** @return Number of dropped lines. */
 	uint64_t Dropped() const { return this->dropped; }
 
-	/** @return Bytes that wait. */
+	/** @return Number of buffered bytes. */
 	size_t Waiting() const { return this->bytes.size(); }
 
 private:
-	int fd;               ///< Where to.
-	size_t most;          ///< Most bytes that may wait.
-	std::string bytes;    ///< Lines that wait.
-	uint64_t dropped = 0; ///< Lines dropped.
-	uint64_t told = 0;    ///< Of those, told in a line of their own.
+	int fd;               ///< File descriptor to write to.
+	size_t most;          ///< Maximum number of buffered bytes.
+	std::string bytes;    ///< Buffered lines.
+	uint64_t dropped = 0; ///< Number of dropped lines.
+	uint64_t told = 0;    ///< Number of dropped lines already reported in a log line.
 };
 
 } // namespace cottonspool
--- a/src/metrics/log.cpp
+++ b/src/metrics/log.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file log.cpp Log lines, by Boost.Log, through a bounded buffer. */
+/** @file log.cpp Log lines, by Boost.Log, through a non-blocking buffer. */
 
 #include "metrics/log.h"
 #include "metrics/line_buffer.h"
@@ -21,17 +21,17 @@
 
 namespace trivial = boost::log::trivial;
 
-static constexpr size_t MOST_WAITING_BYTES = 256U << 10; ///< Lines that may wait for a slow reader: a few seconds of a busy instance.
-static constexpr size_t FLUSH_BYTES = 32U << 10;         ///< Waiting bytes from which a line is flushed at once.
+static constexpr size_t MOST_WAITING_BYTES = 256U << 10; ///< Size of the buffer, enough for a few seconds of a busy instance.
+static constexpr size_t FLUSH_BYTES = 32U << 10;         ///< Number of buffered bytes at which the buffer is flushed at once.
 
-static bool json_form = false;                              ///< Lines are JSON objects.
-static std::string instance_name;                           ///< Name on each line.
-static LineBuffer lines(STDOUT_FILENO, MOST_WAITING_BYTES); ///< Lines on their way.
+static bool json_form = false;                              ///< Whether lines are JSON objects.
+static std::string instance_name;                           ///< Name of this instance on each line.
+static LineBuffer lines(STDOUT_FILENO, MOST_WAITING_BYTES); ///< Buffer of standard output.
 
-/** Boost.Log's way into the buffer; only the loop's thread writes lines. */
+/** Boost.Log backend that writes to the buffer. Not locked, as only the event loop's thread logs. */
 class BufferBackend : public boost::log::sinks::basic_formatted_sink_backend<char, boost::log::sinks::concurrent_feeding> {
 public:
-	/** Take one formatted line. */
+	/** Handle one formatted line. */
 	void consume(const boost::log::record_view &, const string_type &line)
 	{
 		lines.Add(line);
@@ -39,7 +39,7 @@
 	}
 };
 
-/** @return Boost.Log's level for \a level. */
+/** @return The Boost.Log severity for \a level. */
 static trivial::severity_level ToSeverity(LogLevel level)
 {
 	switch (level) {
@@ -100,7 +100,7 @@
 	return text;
 }
 
-/** @return \a value, in quotes when it has anything but plain letters, digits and marks: others wrote some of what is logged. */
+/** @return \a value, quoted and escaped if it contains special characters, as some logged values come from outside. */
 static std::string Quoted(const std::string &value)
 {
 	auto plain = [](unsigned char c) { return c > ' ' && c < 0x7f && c != '=' && c != '"' && c != '\\'; };
--- a/src/metrics/log.h
+++ b/src/metrics/log.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file log.h Log lines for changes of state; a plain header in front of Boost.Log. */
+/** @file log.h Structured log lines, without exposing Boost.Log. */
 
 #pragma once
 
@@ -11,27 +11,33 @@
 
 namespace cottonspool {
 
+/** Severity of a log line. */
 enum class LogLevel { Debug, Info, Warning, Error };
 
-/** One named value of a log line. */
+/** Name and value of a field of a log line. */
 using LogField = std::pair<const char *, std::string>;
 
-/** Set the least severe \a level ("debug" to "error") and the \a form ("text" or "json") of all lines to come. */
+/**
+ * Initialise logging.
+ * @param level Minimum severity: "debug", "info", "warning" or "error".
+ * @param form Format of the lines: "text" or "json".
+ * @param instance Name of this instance, which is part of each line.
+ */
 void InitLog(const std::string &level, const std::string &form, const std::string &instance);
 
-/** Hand what is waiting to the reader of the lines as far as it takes it without waiting; to be called some times a second. */
+/** Write buffered lines as far as possible without blocking; to be called several times a second. */
 void FlushLog();
 
-/** @return Lines dropped since the start because their reader was too slow. */
+/** @return Number of lines dropped because the reader of the log was too slow. */
 uint64_t DroppedLogLines();
 
-/** @return \a duration in milliseconds with two places. */
+/** @return \a duration in milliseconds with two decimals. */
 std::string FormatMilliseconds(Duration duration);
 
-/** @return \a number with three places. */
+/** @return \a number with three decimals. */
 std::string FormatNumber(double number);
 
-/** Write one line: what changed, and the values that matter. */
+/** Log \a event with \a fields. */
 void Log(LogLevel level, const char *event, std::initializer_list<LogField> fields = {});
 
 } // namespace cottonspool
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -12,7 +12,7 @@
 static constexpr std::array<const char *, MEASURE_COUNT> NAMES{"cottonspool_stall_seconds", "cottonspool_first_token_seconds",
                                                                "cottonspool_token_interval_seconds", "cottonspool_queue_seconds",
                                                                "cottonspool_service_seconds"};
-static const char *const OTHER_ACCOUNTS = "other"; ///< Account label of all accounts without series of their own.
+static const char *const OTHER_ACCOUNTS = "other"; ///< Label shared by all accounts beyond the maximum number of series.
 
 const char *MeasureName(Measure measure)
 {
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file metrics.h Counters, and histograms per client account and per class, by Boost.Accumulators. */
+/** @file metrics.h Counters, gauges, and histograms by service class and by client account. */
 
 #pragma once
 
@@ -17,14 +17,14 @@
 
 namespace cottonspool {
 
-/** What is measured of calls. */
+/** Quantity that is measured for calls. */
 enum class Measure : uint8_t { StallSeconds, FirstTokenSeconds, TokenIntervalSeconds, QueueSeconds, ServiceSeconds };
 constexpr size_t MEASURE_COUNT = 5;
 
-/** @return The metric's name in the Prometheus text. */
+/** @return The Prometheus name of \a measure. */
 const char *MeasureName(Measure measure);
 
-/** Histogram of one measure: fixed buckets, and estimated quantiles for people. */
+/** Histogram with fixed buckets and estimated quantiles. */
 class Histogram {
 public:
 	static constexpr std::array<double, 14> BOUNDS{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30};
@@ -32,19 +32,19 @@
 
 	Histogram();
 
-	/** Add one \a value, in seconds. */
+	/** Add \a value, in seconds. */
 	void Add(double value);
 
-	/** @return Values added. */
+	/** @return Number of values. */
 	uint64_t Count() const;
 
-	/** @return The estimated quantile number \a index of QUANTILES, in seconds; 0 before the first value. */
+	/** @return Estimate of the quantile at \a index in QUANTILES, in seconds; 0 without values. */
 	double Quantile(size_t index) const;
 
-	/** @return The largest value, in seconds. */
+	/** @return The largest value, in seconds; 0 without values. */
 	double Max() const;
 
-	/** Add the Prometheus text of this histogram to \a out. */
+	/** Append this histogram in the Prometheus text format to \a out. */
 	void Write(std::string &out, const std::string &name, const std::string &labels) const;
 
 private:
@@ -52,13 +52,14 @@
 	        double, boost::accumulators::stats<boost::accumulators::tag::count, boost::accumulators::tag::sum,
 	                                           boost::accumulators::tag::max, boost::accumulators::tag::extended_p_square>>;
 
-	Set set;                                       ///< Boost's accumulators.
-	std::array<uint64_t, BOUNDS.size()> buckets{}; ///< Values at or below each bound and above the one before.
+	Set set;                                       ///< Count, sum, maximum and quantiles.
+	std::array<uint64_t, BOUNDS.size()> buckets{}; ///< Number of values in each bucket, not cumulative.
 };
 
-/** All figures of one instance. */
+/** All metrics of one instance. */
 class Metrics {
 public:
+	/** @param account_series Maximum number of client accounts with their own series. */
 	explicit Metrics(size_t account_series) : account_series(account_series) {}
 
 	/** Add \a value of \a measure for a call of \a account and \a service_class. */
@@ -70,23 +71,23 @@
 	/** Set the gauge \a name. */
 	void Gauge(const std::string &name, double value) { this->gauges[name] = value; }
 
-	/** @return The Prometheus text of everything. */
+	/** @return All metrics in the Prometheus text format. */
 	std::string Render() const;
 
 	/** @return The histogram of \a measure for \a service_class. */
 	const Histogram &OfClass(Measure measure, ServiceClass service_class) const;
 
-	/** @return The value of a counter. */
+	/** @return The value of the counter \a name, or 0 if it does not exist. */
 	uint64_t Counter(const std::string &name) const;
 
 private:
 	using Row = std::array<std::unique_ptr<Histogram>, MEASURE_COUNT>;
 
-	size_t account_series;                                                          ///< Accounts with series of their own.
-	std::array<std::array<Histogram, SERVICE_CLASS_COUNT>, MEASURE_COUNT> by_class; ///< Histograms per class.
-	std::map<std::string, Row> by_account;                                          ///< Histograms per account; "other" holds the rest.
-	std::map<std::string, uint64_t> counters;                                       ///< Counters.
-	std::map<std::string, double> gauges;                                           ///< Gauges.
+	size_t account_series;                                                          ///< Maximum number of accounts with their own series.
+	std::array<std::array<Histogram, SERVICE_CLASS_COUNT>, MEASURE_COUNT> by_class; ///< Histograms by class.
+	std::map<std::string, Row> by_account; ///< Histograms by account; all others share the label "other".
+	std::map<std::string, uint64_t> counters;
+	std::map<std::string, double> gauges;
 };
 
 } // namespace cottonspool
--- a/src/operator/explain_log.cpp
+++ b/src/operator/explain_log.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file explain_log.cpp What became of a request and why, from log lines. */
+/** @file explain_log.cpp Explains the outcome of a request from log lines. */
 
 #include "operator/explain_log.h"
 #include <algorithm>
@@ -11,26 +11,26 @@
 
 namespace cottonspool {
 
-static constexpr double EARLIER_MS = 5000; ///< Changes of belief are shown from this long before the request came.
+static constexpr double EARLIER_MS = 5000; ///< Time before the arrival of the request from which context lines are shown.
 
-/** Events that change what an instance believes, and so bear on requests without naming one. */
+/** Events that affect requests without naming one. */
 static const std::set<std::string> BELIEFS{"target-leaving", "store-lost", "store-regained", "store-other",
                                            "configuration",  "stopping",   "scope"};
 
-/** Outcomes that need no look at other lines, in words. */
+/** Descriptions of the outcomes that don't depend on other lines. */
 static const std::map<std::string, std::string> PLAIN_CAUSES{
-        {"caller-gone", "the caller left before the answer was whole"},
-        {"no-target", "no target could be reached; it was not run, unless a send before that says maybe"},
-        {"deadline-passed", "no target had room within the time it could wait"},
-        {"wait-too-long", "more was waiting than could be served within its time"},
-        {"queue-full", "too much was waiting"},
-        {"retry-budget", "a second send was needed, and the retry budget was spent"},
-        {"time-limit", "no whole answer came within its time limit"},
-        {"instance-stops", "the instance had to end before the answer was whole"},
-        {"no-configuration", "the instance did not know a configuration yet"},
-        {"no-route", "the configuration in force has no such route"},
-        {"unknown-key", "the configuration in force does not know the key"},
-        {"stopping", "the instance was stopping, and a new stream could not have ended in time"}};
+        {"caller-gone", "the caller disconnected before the answer was complete"},
+        {"no-target", "no target could be reached; it was not executed, unless an earlier attempt has sent=maybe"},
+        {"deadline-passed", "no target had capacity within its wait limit"},
+        {"wait-too-long", "the expected wait in the queue exceeded its wait limit"},
+        {"queue-full", "the queue was full"},
+        {"retry-budget", "a retry was needed, but the retry budget was exhausted"},
+        {"time-limit", "no complete answer arrived within its time limit"},
+        {"instance-stops", "the instance shut down before the answer was complete"},
+        {"no-configuration", "the instance had no configuration yet"},
+        {"no-route", "the current configuration has no such route"},
+        {"unknown-key", "the current configuration does not contain the API key"},
+        {"stopping", "the instance was shutting down, and a new stream could not have finished in time"}};
 
 std::string LogLine::Field(const std::string &name) const
 {
@@ -90,27 +90,28 @@
 	std::string text = target + " was lost (" + ended->Field("cause") + ")";
 	if (const LogLine *notice = this->NoticeOf(target, ended->at_ms)) {
 		std::ostringstream told;
-		told << " " << std::fixed << std::setprecision(1) << (ended->at_ms - notice->at_ms) / 1000 << " s after it was known to leave ("
+		told << " " << std::fixed << std::setprecision(1) << (ended->at_ms - notice->at_ms) / 1000 << " s after its drain notice ("
 		     << notice->Field("source") << ")";
 		const LogLine *move = this->Last("move");
 		text += told.str();
-		text += move == nullptr ? ", and its run was not moved"
-		                        : ", and its move did not end in time (" + move->Field("step") + ": " + move->Field("result") + ")";
+		text += move == nullptr ? ", and its run was not migrated"
+		                        : ", and the migration did not finish in time (" + move->Field("step") + ": " + move->Field("result") + ")";
 	} else {
-		text += lost != nullptr ? " without notice" : " before its answer was whole: it may have run";
+		text += lost != nullptr ? " without notice" : " before its answer was complete: the request may have been executed";
 	}
 	return text;
 }
 
 std::string RequestStory::Cause() const
 {
-	if (this->lines.empty()) return "no line tells of it";
+	if (this->lines.empty()) return "not found in the logs";
 	if (const LogLine *refused = this->Last("refused")) {
 		auto known = PLAIN_CAUSES.find(refused->Field("reason"));
-		return "refused with " + refused->Field("status") + ": " + (known != PLAIN_CAUSES.end() ? known->second : refused->Field("reason"));
+		return "rejected with " + refused->Field("status") + ": " +
+		       (known != PLAIN_CAUSES.end() ? known->second : refused->Field("reason"));
 	}
 	const LogLine *finished = this->Last("finished");
-	if (finished == nullptr) return "not answered by the end of the logs: the instance died, or the request is still being served";
+	if (finished == nullptr) return "not answered by the end of the logs: the instance crashed, or the request is still being served";
 	std::string outcome = finished->Field("outcome");
 	std::string status = finished->Field("status");
 	const LogLine *sent = this->Last("sent");
--- a/src/operator/explain_log.h
+++ b/src/operator/explain_log.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file explain_log.h What became of a request and why, from the log lines of one or more gateways. */
+/** @file explain_log.h Explains the outcome of a request from the logs of one or more gateways. */
 
 #pragma once
 
@@ -14,47 +14,48 @@
 
 /** One line of a gateway's log. */
 struct LogLine {
-	double at_ms = 0;                          ///< Milliseconds on its instance's steady clock: not comparable between instances.
-	std::string instance;                      ///< Instance that wrote it.
-	std::string event;                         ///< What happened.
-	std::map<std::string, std::string> fields; ///< The other fields.
+	double at_ms = 0;                          ///< Steady clock of the instance, in milliseconds; not comparable between instances.
+	std::string instance;                      ///< Name of the instance that wrote the line.
+	std::string event;                         ///< Name of the event.
+	std::map<std::string, std::string> fields; ///< All other fields.
 
-	/** @return The field \a name; an empty text if there is none. */
+	/** @return The value of the field \a name, or an empty string if it is missing. */
 	std::string Field(const std::string &name) const;
 };
 
-/** @return The line in \a text, whatever stands before its JSON object; nothing if there is none. */
+/** @return The log line in \a text, ignoring anything before its JSON object; nothing if there is none. */
 std::optional<LogLine> ParseLogLine(const std::string &text);
 
-/** Collects what the logs of several instances tell about one request. */
+/** Trace of one request, collected from the logs of several instances. */
 class RequestStory {
 public:
 	explicit RequestStory(std::string request) : request(std::move(request)) {}
 
-	/** Take in a log. */
+	/** Add the lines of \a log. */
 	void Add(std::istream &log);
 
-	/** @return Whether any line tells of the request. */
+	/** @return Whether any line concerns the request. */
 	bool IsKnown() const { return !this->lines.empty(); }
 
-	/** @return The cause of its outcome, in one sentence. */
+	/** @return The cause of the request's outcome, in one sentence. */
 	std::string Cause() const;
 
-	/** @return The cause, and below it what happened in order; lines on targets and on the store that bear on it included. */
+	/** @return The cause, followed by the related log lines in order. */
 	std::string Text() const;
 
 private:
-	/** @return The last line of the request with \a event; null if there is none. */
+	/** @return The last line of the request with the given event; null if there is none. */
 	const LogLine *Last(const std::string &event) const;
-	/** @return Lines that bear on the request, in order. */
+	/** @return The lines of the request and those on its targets, the store and the configuration, by instance and time. */
 	std::vector<LogLine> Related() const;
-	/** @return The notice that \a target leaves, as its instance learned it by \a before_ms; null if there is none. */
+	/** @return The drain notice of \a target that the request's instance received before \a before_ms; null if there is none. */
 	const LogLine *NoticeOf(const std::string &target, double before_ms) const;
+	/** @return The cause of an outcome that follows from the loss of a target. */
 	std::string CauseOfLoss(const LogLine &finished) const;
 
 	std::string request;          ///< Id of the request.
-	std::vector<LogLine> lines;   ///< Lines with its id.
-	std::vector<LogLine> beliefs; ///< Lines on targets, the store and the configuration, of all instances.
+	std::vector<LogLine> lines;   ///< Lines of the request.
+	std::vector<LogLine> beliefs; ///< Lines on targets, the store and the configuration, from all instances.
 };
 
 } // namespace cottonspool
--- a/src/operator/operator.cpp
+++ b/src/operator/operator.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file operator.cpp The operators' verbs of the command line. */
+/** @file operator.cpp Operator commands of the command line. */
 
 #include "configuration/record_type.h"
 #include "operator/explain_log.h"
@@ -20,24 +20,25 @@
 
 using Json = nlohmann::json;
 
-static constexpr long CALL_LIMIT_MS = 30000;                       ///< Longest time of one call.
-static constexpr int APPLY_TRIES = 5;                              ///< Most sends of one change; its id makes repeats harmless.
-static constexpr auto POLL_PAUSE = std::chrono::milliseconds(200); ///< Pause between looks while waiting.
+static constexpr long CALL_LIMIT_MS = 30000; ///< Timeout of one request.
+static constexpr int APPLY_TRIES = 5;        ///< Maximum number of attempts to apply a change; its id makes retries idempotent.
+static constexpr auto POLL_PAUSE = std::chrono::milliseconds(200); ///< Interval between polls and retries.
 
-/** Answer of an instance; status 0 when there was none. */
+/** Answer of an instance. */
 struct Answer {
-	long status = 0;   ///< HTTP status.
-	std::string body;  ///< Body.
-	std::string error; ///< What was wrong, when there was no answer.
+	long status = 0; ///< HTTP status; 0 without an answer.
+	std::string body;
+	std::string error; ///< Error message if there was no answer.
 };
 
+/** Write callback of curl that appends to a string. */
 static size_t AppendBody(char *data, size_t size, size_t count, void *user)
 {
 	static_cast<std::string *>(user)->append(data, size * count);
 	return size * count;
 }
 
-/** Ask one instance. */
+/** Send a request to one instance: a POST with \a body, or a GET if it is null. */
 static Answer Ask(const OperatorOptions &options, const std::string &server, const std::string &path, const std::string *body)
 {
 	Answer answer;
@@ -58,7 +59,7 @@
 	return answer;
 }
 
-/** Ask the first instance that answers. */
+/** Send a GET request to the instances in turn until one answers. */
 static Answer AskAny(const OperatorOptions &options, const std::string &path)
 {
 	Answer answer;
@@ -70,14 +71,14 @@
 	return answer;
 }
 
-/** Print an error in one line. @return The exit code. */
+/** Print an error message. @return \a code, as the exit code. */
 static int Complain(const std::string &what, int code = EXIT_FAILED)
 {
 	std::cerr << "cottonspool: " << what << std::endl;
 	return code;
 }
 
-/** @return What an answer says went wrong. */
+/** @return The error message in \a answer. */
 static std::string Wrong(const Answer &answer)
 {
 	if (answer.status == 0) return answer.error;
@@ -87,7 +88,7 @@
 	return error.is_string() ? error.get<std::string>() : error.value("message", "status " + std::to_string(answer.status));
 }
 
-/** Read a change from \a file, filling in an id. */
+/** Read a change from \a file and generate an id if it has none. */
 static Result<Change> ReadChangeFile(const std::string &file)
 {
 	std::ifstream in(file);
@@ -103,7 +104,7 @@
 	return change;
 }
 
-/** Run the policy in \a record on sample input and print what it would decide. */
+/** Run the policy in \a record on sample input and print its decisions. */
 static Result<void> TryPolicy(const RecordChange &record)
 {
 	PolicyEngine engine({});
@@ -114,7 +115,7 @@
 	return outcome::success();
 }
 
-/** Check the schema of every record, and try the policies. */
+/** Check the schema of every record and test the policies. */
 static Result<void> CheckRecords(const Change &change)
 {
 	for (const RecordChange &record : change.records) {
@@ -132,12 +133,12 @@
 	if (!change) return Complain(FormatError(change.error()));
 	Result<void> checked = CheckRecords(change.value());
 	if (!checked) return Complain(FormatError(checked.error()));
-	std::cout << file << ": " << change.value().records.size() << " records, as far as can be told without the instances all right"
+	std::cout << file << ": " << change.value().records.size() << " records are valid, as far as can be checked without the instances"
 	          << std::endl;
 	return EXIT_OK;
 }
 
-/** @return The names of the instances that \a options name, or that these see, where \a sequence is not in force yet. */
+/** @return The names of the instances in \a options, and of their members, that have not applied \a sequence yet. */
 static std::set<std::string> Behind(const OperatorOptions &options, uint64_t sequence)
 {
 	std::set<std::string> behind;
@@ -155,7 +156,7 @@
 	return behind;
 }
 
-/** Wait until \a sequence is in force at every instance. @return Whether it came to that. */
+/** Wait until all instances have applied \a sequence. @return False if the wait limit expired. */
 static bool WaitInForce(const OperatorOptions &options, uint64_t sequence)
 {
 	auto end = std::chrono::steady_clock::now() + options.wait;
@@ -167,11 +168,11 @@
 	if (behind.empty()) return true;
 	std::string names;
 	for (const std::string &name : behind) names += " " + name;
-	Complain("sequence " + std::to_string(sequence) + " is accepted but not yet seen in force at:" + names);
+	Complain("sequence " + std::to_string(sequence) + " was accepted but is not confirmed as applied by:" + names);
 	return false;
 }
 
-/** Send \a change until there is a clear answer. */
+/** Apply \a change, retrying until the outcome is known. @return The exit code. */
 static int SendChange(const OperatorOptions &options, Change change)
 {
 	if (change.base == 0) {
@@ -196,7 +197,7 @@
 			const Json &other = said["conflict"];
 			return Complain("conflict: sequence " + std::to_string(other.value("sequence", 0ULL)) + ", change " +
 			                        other.value("change", "") + " by " + other.value("author", "") +
-			                        " touched the same records after your base " + std::to_string(change.base),
+			                        " modified the same records after your base " + std::to_string(change.base),
 			                EXIT_CONFLICT);
 		}
 		if (answer.status >= 400 && answer.status < 500) return Complain(Wrong(answer));
@@ -205,7 +206,7 @@
 		std::this_thread::sleep_for(POLL_PAUSE);
 	}
 	if (!doubtful) return Complain("not accepted: " + last);
-	return Complain("it is not known whether the change was accepted; repeat with id = \"" + change.id + "\": " + last, EXIT_UNKNOWN);
+	return Complain("outcome unknown: the change may have been accepted; retry with id = \"" + change.id + "\": " + last, EXIT_UNKNOWN);
 }
 
 int RunApply(const OperatorOptions &options, const std::string &file)
@@ -223,7 +224,7 @@
 	return EXIT_OK;
 }
 
-/** Print one instance's state as a table. */
+/** Print the state of one instance and its targets; \a head is the newest known sequence. */
 static void PrintStatus(const Json &status, uint64_t head)
 {
 	uint64_t sequence = status.value("sequence", 0ULL);
@@ -262,7 +263,7 @@
 	return code;
 }
 
-/** @return Calls in flight at \a target over all instances asked, or -1 when one does not answer. */
+/** @return Number of calls in flight at \a target from all given instances, or -1 if one does not answer. */
 static int64_t InFlightAt(const OperatorOptions &options, const std::string &target)
 {
 	int64_t in_flight = 0;
@@ -281,7 +282,7 @@
 	Answer shown = AskAny(options, "/operator/show?kind=target&name=" + target);
 	Json records = Json::parse(shown.body, nullptr, false);
 	if (shown.status != 200) return Complain(Wrong(shown));
-	if (!records.is_object() || !records.contains(target)) return Complain("there is no target " + target);
+	if (!records.is_object() || !records.contains(target)) return Complain("no such target: " + target);
 	Json content = records[target]["content"];
 	content["wish"] = back ? "live" : "leaving";
 	Change change;
@@ -309,10 +310,10 @@
 	RequestStory story(request);
 	for (const std::string &path : logs) {
 		std::ifstream file(path);
-		if (path != "-" && !file) return Complain(path + " cannot be read");
+		if (path != "-" && !file) return Complain(path + ": cannot be read");
 		story.Add(path == "-" ? std::cin : file);
 	}
-	if (!story.IsKnown()) return Complain("no line tells of " + request);
+	if (!story.IsKnown()) return Complain("request not found in the logs: " + request);
 	std::cout << story.Text();
 	return EXIT_OK;
 }
@@ -327,7 +328,7 @@
 		}
 		return EXIT_OK;
 	}
-	return Complain("no instance asked remembers " + request);
+	return Complain("request not found on the given instances: " + request);
 }
 
 } // namespace cottonspool
