--- a/src/decision/call_meter.h
+++ b/src/decision/arrival_counter.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call_meter.h Counter of recently arrived calls for each pool. */
+/** @file arrival_counter.h Counter of recently arrived calls for each pool. */
 
 #pragma once
 
@@ -11,21 +11,21 @@
 
 namespace cottonspool {
 
-/** Counts the calls that arrived for each pool within about one rate limit window (LIMIT_SPAN). */
-class CallMeter {
+/** Counts the calls that arrived for each pool within about one rate limit window (RATE_LIMIT_WINDOW). */
+class ArrivalCounter {
 public:
 	/** Count a call for \a pool that arrived at \a now. */
 	void OnCall(const std::string &pool, TimePoint now) { this->At(pool, now).present++; }
 
 	/** @return Calls for \a pool that arrived within the last two to four seconds. */
-	uint32_t Lately(const std::string &pool, TimePoint now)
+	uint32_t Recent(const std::string &pool, TimePoint now)
 	{
 		const Count &count = this->At(pool, now);
 		return count.present + count.before;
 	}
 
 private:
-	static constexpr Duration HALF = std::chrono::milliseconds(2100); ///< Length of each of the two half windows.
+	static constexpr Duration HALF_WINDOW = std::chrono::milliseconds(2100); ///< Length of each of the two half windows.
 
 	/** Calls for one pool, counted in two consecutive half windows. */
 	struct Count {
@@ -39,8 +39,8 @@
 	{
 		Count &count = this->pools[pool];
 		Duration passed = now - count.since;
-		if (passed < HALF) return count;
-		count = {0, passed < 2 * HALF ? count.present : 0, now};
+		if (passed < HALF_WINDOW) return count;
+		count = {0, passed < 2 * HALF_WINDOW ? count.present : 0, now};
 		return count;
 	}
 
--- a/src/decision/backup_choice.h
+++ b/src/decision/backup_choice.h
@@ -11,9 +11,9 @@
 /** Parameters of the choice. */
 struct BackupRules {
 	bool use = false;                ///< Whether backups are made at all; docs/design/decisions.md explains why they are off by default.
-	double most_pressure = 0.62;     ///< Highest memory pressure, including the backup, of an engine that gets one.
+	double max_pressure = 0.62;      ///< Highest memory pressure, including the backup, of an engine that gets one.
 	double same_hall_penalty = 0.25; ///< Pressure added to the score of engines in the run's own hall.
-	Duration least_rest = std::chrono::milliseconds(1000); ///< Runs with a shorter expected remaining time get no backup.
+	Duration min_remaining = std::chrono::milliseconds(1000); ///< Runs with a shorter expected remaining time get no backup.
 };
 
 /**
--- a/src/decision/byte_budget.h
+++ b/src/decision/byte_budget.h
@@ -21,18 +21,18 @@
 	/** @return Whether \a bytes may be sent now; if so they are deducted. */
 	[[nodiscard]] bool Take(double bytes, TimePoint now)
 	{
-		this->left = std::min(this->most, this->left + this->per_second * Seconds(now - this->looked_at));
-		this->looked_at = now;
+		this->left = std::min(this->most, this->left + this->per_second * Seconds(now - this->refilled_at));
+		this->refilled_at = now;
 		if (bytes > this->left) return false;
 		this->left -= bytes;
 		return true;
 	}
 
 private:
-	double per_second;   ///< Refill rate, in bytes per second.
-	double most;         ///< Capacity of the bucket, in bytes.
-	double left = 0;     ///< Bytes that may be sent now.
-	TimePoint looked_at; ///< Time of the last refill.
+	double per_second;     ///< Refill rate, in bytes per second.
+	double most;           ///< Capacity of the bucket, in bytes.
+	double left = 0;       ///< Bytes that may be sent now.
+	TimePoint refilled_at; ///< Time of the last refill.
 };
 
 } // namespace cottonspool
--- a/src/decision/call_queue.h
+++ b/src/decision/call_queue.h
@@ -67,51 +67,51 @@
 	};
 
 	/** Identifies a flow within its class: the model in the upper 32 bits, the account in the lower 32 bits. */
-	using LineKey = uint64_t;
+	using FlowKey = uint64_t;
 
 	/** The calls of one account for one model in one class. */
-	struct Line {
+	struct Flow {
 		std::deque<Waiting> calls; ///< Waiting calls, by priority and then by arrival.
 		double tag = 0;            ///< Virtual start time.
 		double tokens = 0;         ///< Expected cost of all waiting calls.
 	};
 
 	/** The flows of one model in one class. */
-	struct ModelLines {
-		std::multimap<double, LineKey> order; ///< Flows with waiting calls, by virtual start time.
+	struct ModelFlows {
+		std::multimap<double, FlowKey> order; ///< Flows with waiting calls, by virtual start time.
 		double tokens = 0;                    ///< Expected cost of all waiting calls.
 	};
 
 	/** All flows of one class. */
-	struct ClassLines {
-		std::unordered_map<LineKey, Line> lines; ///< All flows, including idle ones.
-		std::map<uint32_t, ModelLines> models;   ///< Flows with waiting calls, by model.
+	struct ClassFlows {
+		std::unordered_map<FlowKey, Flow> lines; ///< All flows, including idle ones.
+		std::map<uint32_t, ModelFlows> models;   ///< Flows with waiting calls, by model.
 		double clock = 0;                        ///< Virtual time: virtual start time of the last served flow.
 		size_t calls = 0;                        ///< Number of waiting calls.
 	};
 
-	static LineKey KeyOf(const QueueLimits &limits, const CallSpec &call)
+	static FlowKey KeyOf(const QueueLimits &limits, const CallSpec &call)
 	{
-		return static_cast<LineKey>(call.model.value) << 32 | (limits.fair ? call.account.value : 0);
+		return static_cast<FlowKey>(call.model.value) << 32 | (limits.fair ? call.account.value : 0);
 	}
-	static uint32_t ModelOf(LineKey key) { return static_cast<uint32_t>(key >> 32); }
+	static uint32_t ModelOf(FlowKey key) { return static_cast<uint32_t>(key >> 32); }
 	void Insert(const CallSpec &call, double tokens, bool front);
-	void Unlink(ClassLines &lines, LineKey key);
-	void TakeHead(ClassLines &lines, LineKey key, bool charge);
-	static constexpr size_t MAX_IDLE_LINES = 4096; ///< Idle flows that are kept so that their virtual start times are not lost.
+	void Unlink(ClassFlows &lines, FlowKey key);
+	void PopHead(ClassFlows &lines, FlowKey key, bool charge);
+	static constexpr size_t MAX_IDLE_FLOWS = 4096; ///< Idle flows that are kept so that their virtual start times are not lost.
 
 	QueueLimits limits;
-	std::array<ClassLines, SERVICE_CLASS_COUNT> classes;                              ///< Flows by class.
-	std::unordered_map<CallId, std::pair<ServiceClass, LineKey>, StrongIdHash> index; ///< Class and flow of each waiting call.
+	std::array<ClassFlows, SERVICE_CLASS_COUNT> classes;                              ///< Flows by class.
+	std::unordered_map<CallId, std::pair<ServiceClass, FlowKey>, StrongIdHash> index; ///< Class and flow of each waiting call.
 	std::multimap<TimePoint, CallId> deadlines;                                       ///< Waiting calls by deadline.
 };
 
 template <typename Visit> size_t CallQueue::ForEachHead(size_t limit, Visit visit)
 {
 	size_t taken = 0;
-	for (ClassLines &lines : this->classes) {
+	for (ClassFlows &lines : this->classes) {
 		// The limit applies to each model separately, so that an overloaded model does not keep the calls of others from being tried.
-		std::vector<std::pair<double, LineKey>> heads;
+		std::vector<std::pair<double, FlowKey>> heads;
 		for (const auto &[model, own] : lines.models) {
 			size_t tried = 0;
 			for (auto it = own.order.begin(); it != own.order.end() && tried < limit; ++it, tried++) heads.push_back(*it);
@@ -119,7 +119,7 @@
 		std::sort(heads.begin(), heads.end());
 		for (const auto &[tag, key] : heads) {
 			if (!visit(lines.lines[key].calls.front().call)) continue;
-			this->TakeHead(lines, key, true);
+			this->PopHead(lines, key, true);
 			taken++;
 		}
 	}
--- a/src/decision/decision_carrier.h
+++ b/src/decision/decision_executor.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file decision_carrier.h Delivers the dispatcher's decisions to the calls they concern, in order. */
+/** @file decision_executor.h Delivers the dispatcher's decisions to the calls they concern, in order. */
 
 #pragma once
 
@@ -14,32 +14,32 @@
 /**
  * Executes decisions one after another. Decisions made during an execution are queued, so that the handlers of a call are never
  * re-entered.
- * @tparam Call Has OnSend(SendAction) and OnGiveUp(GiveUpAction).
+ * @tparam Call Has OnSend(SendAction) and OnReject(RejectAction).
  */
-template <typename Call> class DecisionCarrier {
+template <typename Call> class DecisionExecutor {
 public:
 	using Calls = std::unordered_map<CallId, std::shared_ptr<Call>, StrongIdHash>;
 
 	/** @param calls The calls that get decisions; decisions for calls no longer in the map are dropped. */
-	explicit DecisionCarrier(const Calls &calls) : calls(calls) {}
+	explicit DecisionExecutor(const Calls &calls) : calls(calls) {}
 
 	/** Execute \a decisions now, or after the ones that are being executed. */
-	void Carry(Decisions decisions)
+	void Execute(Decisions decisions)
 	{
 		this->waiting.push_back(std::move(decisions));
-		if (this->carrying) return;
-		this->carrying = true;
+		if (this->executing) return;
+		this->executing = true;
 		while (!this->waiting.empty()) {
 			Decisions next = std::move(this->waiting.front());
 			this->waiting.pop_front();
 			for (const SendAction &action : next.sends) {
 				if (std::shared_ptr<Call> call = this->Find(action.call)) call->OnSend(action);
 			}
-			for (const GiveUpAction &action : next.give_ups) {
-				if (std::shared_ptr<Call> call = this->Find(action.call)) call->OnGiveUp(action);
+			for (const RejectAction &action : next.rejections) {
+				if (std::shared_ptr<Call> call = this->Find(action.call)) call->OnReject(action);
 			}
 		}
-		this->carrying = false;
+		this->executing = false;
 	}
 
 private:
@@ -52,7 +52,7 @@
 
 	const Calls &calls;            ///< Unfinished calls.
 	std::deque<Decisions> waiting; ///< Decisions that are not executed yet.
-	bool carrying = false;         ///< Whether decisions are being executed.
+	bool executing = false;        ///< Whether decisions are being executed.
 };
 
 } // namespace cottonspool
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -5,8 +5,8 @@
 #pragma once
 
 #include "decision/call_queue.h"
+#include "decision/overload_tracker.h"
 #include "decision/quarantine.h"
-#include "decision/refusal_span.h"
 #include "decision/retry_budget.h"
 #include "decision/router_base.h"
 #include "decision/serving_type.h"
@@ -15,39 +15,39 @@
 
 /** Settings of a dispatcher. */
 struct DispatchLimits {
-	TargetLimits targets;                  ///< Admission to targets and their health.
+	AdmissionLimits targets;               ///< Admission to targets and their health.
 	QueueLimits queue;                     ///< Queue of waiting calls.
 	RetryLimits retry;                     ///< Retry budget of each target and of each client account.
 	std::optional<RetryLimits> pool_retry; ///< Retry budget of each model or service; if set, it replaces the other two.
-	uint32_t max_unsent = 6;               ///< Consecutive unreachable targets after which a call is rejected.
+	uint32_t max_unreachable_sends = 6;    ///< Consecutive unreachable targets after which a call is rejected.
 	LengthEstimateLimits lengths;          ///< Output length estimate.
 	QuarantineLimits quarantine;           ///< Quarantine of requests that crash targets.
 	bool refuse_early = true;              ///< Reject a call at once if its expected wait exceeds its deadline.
 	bool retry_failed = true;              ///< Retry repeatable calls that failed at a target on another one.
 	uint32_t max_attempts = 3;             ///< Maximum number of attempts per call, unless the call sets its own.
-	size_t heads_tried = 24;               ///< Maximum number of flows tried per class, model and pass over the queue.
+	size_t max_heads_tried = 24;           ///< Maximum number of flows tried per class, model and pass over the queue.
 	Duration retry_after_min = std::chrono::milliseconds(500); ///< Minimum Retry-After of rejections.
 	Duration retry_after_max = std::chrono::seconds(30);       ///< Maximum Retry-After of rejections.
 };
 
 /** Outcome of one attempt to run a call on a target. */
-enum class SendEnd : uint8_t {
-	Complete,     ///< The complete answer was received.
-	NotSent,      ///< No byte reached the target; does not count as an attempt.
-	NotRun,       ///< The target stated that it did not execute the call.
-	TurnedAway,   ///< The target did not execute the call and asked for a pause.
-	Failed,       ///< The complete answer was received and reports a failure of the target.
-	Lost,         ///< The outcome is unknown, or the run was lost before anything was delivered to the caller.
-	LostAfterUse, ///< The run was lost after a part was delivered to the caller; never retried.
-	CallerGone,   ///< The caller disconnected.
+enum class SendOutcome : uint8_t {
+	Complete,           ///< The complete answer was received.
+	NotSent,            ///< No byte reached the target; does not count as an attempt.
+	NotExecuted,        ///< The target stated that it did not execute the call.
+	Rejected,           ///< The target did not execute the call and asked for a pause.
+	Failed,             ///< The complete answer was received and reports a failure of the target.
+	Lost,               ///< The outcome is unknown, or the run was lost before anything was delivered to the caller.
+	LostAfterDelivery,  ///< The run was lost after a part was delivered to the caller; never retried.
+	CallerDisconnected, ///< The caller disconnected.
 };
 
 /** Counters of a dispatcher since its start. */
 struct DispatchCounters {
-	uint64_t submitted = 0;                                ///< Calls submitted.
-	uint64_t sends = 0;                                    ///< Attempts, including retries.
-	uint64_t retries = 0;                                  ///< Retries.
-	std::array<uint64_t, GIVE_UP_REASON_COUNT> given_up{}; ///< Rejected calls by reason.
+	uint64_t submitted = 0;                               ///< Calls submitted.
+	uint64_t sends = 0;                                   ///< Attempts, including retries.
+	uint64_t retries = 0;                                 ///< Retries.
+	std::array<uint64_t, REJECT_REASON_COUNT> rejected{}; ///< Rejected calls by reason.
 };
 
 /** Makes the decisions for all calls of one instance. */
@@ -60,7 +60,7 @@
 	 * @param slack The common burst.
 	 * @param own Name of this instance: if the share is less than one retry, a hash of the names selects the instances that get one.
 	 */
-	void ShareRetries(double slack, size_t instances, std::string_view own);
+	void SetRetryShare(double slack, size_t instances, std::string_view own);
 
 	/** Handle the new call \a call. */
 	Decisions Submit(const CallSpec &call, TimePoint now);
@@ -69,44 +69,44 @@
 	 * Handle a change of targets, their restrictions, data halls or home regions: waiting calls that no target can serve any more are
 	 * rejected, others are dispatched if possible.
 	 */
-	Decisions OnPlacesChanged(TimePoint now);
+	Decisions OnPlacementChanged(TimePoint now);
 
 	/** Handle a change of the quarantine: waiting calls that are now quarantined are rejected. */
-	Decisions OnSuspicionChanged(TimePoint now);
+	Decisions OnQuarantineChanged(TimePoint now);
 
 	/** @return The quarantine, to update and to query. */
-	Quarantine &Suspicions() { return this->quarantine; }
+	Quarantine &QuarantineState() { return this->quarantine; }
 
 	/** Set the data halls in which \a call may run, in order of preference. */
 	void SetHalls(CallId call, std::vector<HallPreference> halls);
 
 	/** Remove the waiting \a call because its caller disconnected. */
-	void Withdraw(CallId call);
+	void CancelWaiting(CallId call);
 
 	/** Handle the arrival of \a tokens output tokens of \a call. */
 	void OnToken(CallId call, TimePoint now, uint32_t tokens = 1);
 
 	/** @return The target to migrate the run of \a call to, other than its present one and \a refused; nothing if none has headroom. */
-	std::optional<TargetNumber> ChooseMove(CallId call, const std::vector<TargetNumber> &refused, TimePoint now);
+	std::optional<TargetNumber> ChooseMigrationTarget(CallId call, const std::vector<TargetNumber> &refused, TimePoint now);
 
 	/**
 	 * Time to wait before the migration copy of \a call is requested. Runs that migrate from an engine at the same time are copied one
 	 * after another over its link, smallest first. A copy is a snapshot from the time of its request, so an early request misses the
 	 * tokens that are generated while it waits for the link.
 	 * @param pool Properties of the engines of the pool.
-	 * @param least_rest Runs with a shorter expected remaining time are not migrated.
+	 * @param min_remaining Runs with a shorter expected remaining time are not migrated.
 	 * @return Expected time until the smaller runs have been copied.
 	 */
-	Duration CopyWait(CallId call, const EnginePool &pool, Duration least_rest) const;
+	Duration MigrationCopyDelay(CallId call, const EnginePool &pool, Duration min_remaining) const;
 
 	/** Handle the migration of the run of \a call to \a target. */
-	void OnMoved(CallId call, TargetNumber target, TimePoint now);
+	void OnMigrated(CallId call, TargetNumber target, TimePoint now);
 
 	/** @return The calls in flight at \a target, those with the longest expected remaining output first. */
 	std::vector<CallId> CallsAt(TargetNumber target) const;
 
 	/** Handle the end of an attempt of \a call: the call is queued for a retry, rejected, or forgotten if it is done. */
-	Decisions OnSendEnded(CallId call, SendEnd end, TimePoint now);
+	Decisions OnSendEnded(CallId call, SendOutcome end, TimePoint now);
 
 	/** Handle a load report of \a target. */
 	Decisions OnReport(TargetNumber target, const LoadReport &report, TimePoint now);
@@ -137,53 +137,53 @@
 
 private:
 	/** A call that is waiting or in flight. */
-	struct Tracked {
+	struct TrackedCall {
 		CallSpec call;
 		std::optional<TargetNumber> holder; ///< Target to which it was sent.
 		uint32_t attempts = 0;              ///< Attempts so far.
-		uint32_t unsent = 0;                ///< Consecutive targets that could not be reached.
+		uint32_t unreachable_sends = 0;     ///< Consecutive targets that could not be reached.
 		double charged = 0;                 ///< Tokens charged to its flow in the queue.
 		TimePoint not_before;               ///< Earliest time of the next attempt.
 	};
 
 	bool TrySend(const CallSpec &call, TimePoint now, Decisions &decisions);
 	void Drain(TimePoint now, Decisions &decisions);
-	void GiveUp(const CallSpec &call, GiveUpReason reason, TimePoint now, Decisions &decisions);
+	void Reject(const CallSpec &call, RejectReason reason, TimePoint now, Decisions &decisions);
 	/**
 	 * Reject the waiting \a call if restrictions keep it from all targets until after its deadline.
 	 * @return Whether it was rejected.
 	 */
-	bool GiveUpIfBound(const CallSpec &call, TimePoint now, Decisions &decisions);
+	bool RejectIfRestricted(const CallSpec &call, TimePoint now, Decisions &decisions);
 	/** @return Retry-After for the caller of \a call, which is rejected at \a now. */
 	Duration RetryAfter(const CallSpec &call, TimePoint now) const;
 	/** @return Expected time until the calls ahead of \a call are dispatched; zero while the dispatch rate is unknown. */
 	Duration Drain(const CallSpec &call) const;
-	void SendAgain(Tracked &tracked, SendEnd end, TimePoint now, Decisions &decisions);
-	void TryElsewhere(Tracked &tracked, TimePoint now, Decisions &decisions);
-	TimePoint RenewDeadline(Tracked &tracked, TimePoint now) const;
-	bool SpendRetry(const Tracked &tracked);
+	void RetryCall(TrackedCall &tracked, SendOutcome end, TimePoint now, Decisions &decisions);
+	void RetryUnreachable(TrackedCall &tracked, TimePoint now, Decisions &decisions);
+	TimePoint ExtendDeadline(TrackedCall &tracked, TimePoint now) const;
+	bool SpendRetry(const TrackedCall &tracked);
 	RetryBudget *PoolBudget(ModelNumber model);
-	void MeasureRate(double tokens, TimePoint now);
+	void UpdateDispatchRate(double tokens, TimePoint now);
 	double ExpectedTokens(const CallSpec &call) const;
-	bool AnyTarget(const CallSpec &call) const;
+	bool HasEligibleTarget(const CallSpec &call) const;
 	bool IsQuarantined(const CallSpec &call, TimePoint now) const
 	{
-		return this->quarantine.Judge(call.print, now) == Suspicion::Quarantined;
+		return this->quarantine.Judge(call.fingerprint, now) == Suspicion::Quarantined;
 	}
 	/** Reject the waiting calls for which \a refuse returns true. */
-	template <typename Refuse> void RefuseWaiting(GiveUpReason reason, TimePoint now, Decisions &decisions, Refuse refuse);
+	template <typename Refuse> void RejectWaiting(RejectReason reason, TimePoint now, Decisions &decisions, Refuse refuse);
 
 	DispatchLimits limits;
-	LengthEstimate lengths;                                    ///< Output length estimate.
-	TargetTable targets;                                       ///< State of the targets.
-	CallQueue queue;                                           ///< Queue of waiting calls.
-	std::unique_ptr<Router> router;                            ///< Chooses the target of a call.
-	std::unordered_map<CallId, Tracked, StrongIdHash> calls;   ///< Calls that are waiting or in flight.
-	std::unordered_map<uint32_t, RetryBudget> target_budgets;  ///< Retry budgets by target.
-	std::unordered_map<uint32_t, RetryBudget> account_budgets; ///< Retry budgets by client account.
-	std::unordered_map<uint32_t, RetryBudget> pool_budgets;    ///< Retry budgets by model or service.
-	std::unordered_map<uint32_t, RefusalSpan> refusals;        ///< Duration of the present overload, by model or service.
-	Quarantine quarantine;                                     ///< Requests that are suspected of crashing targets.
+	LengthEstimate lengths;                                      ///< Output length estimate.
+	TargetTable targets;                                         ///< State of the targets.
+	CallQueue queue;                                             ///< Queue of waiting calls.
+	std::unique_ptr<Router> router;                              ///< Chooses the target of a call.
+	std::unordered_map<CallId, TrackedCall, StrongIdHash> calls; ///< Calls that are waiting or in flight.
+	std::unordered_map<uint32_t, RetryBudget> target_budgets;    ///< Retry budgets by target.
+	std::unordered_map<uint32_t, RetryBudget> account_budgets;   ///< Retry budgets by client account.
+	std::unordered_map<uint32_t, RetryBudget> pool_budgets;      ///< Retry budgets by model or service.
+	std::unordered_map<uint32_t, OverloadTracker> overloads;     ///< Duration of the present overload, by model or service.
+	Quarantine quarantine;                                       ///< Requests that are suspected of crashing targets.
 	DispatchCounters counters;
 	size_t in_flight = 0;   ///< Number of calls in flight.
 	double rate = 0;        ///< Tokens dispatched per second while calls waited; 0 while unknown.
--- a/src/decision/refusal_span.h
+++ b/src/decision/overload_tracker.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file refusal_span.h Duration of the present overload, and the Retry-After derived from it. */
+/** @file overload_tracker.h Duration of the present overload, and the Retry-After derived from it. */
 
 #pragma once
 
@@ -14,17 +14,17 @@
  * come back into the same overload. The remaining duration of an overload is unknown but tends to grow with its age, so the
  * Retry-After is a multiple of the age.
  */
-class RefusalSpan {
+class OverloadTracker {
 public:
 	/** Handle the rejection of a call because of overload. */
-	void OnRefused(TimePoint now)
+	void OnRejected(TimePoint now)
 	{
-		if (now - this->last > QUIET) this->first = now;
+		if (now - this->last > QUIET_PERIOD) this->first = now;
 		this->last = now;
 	}
 
 	/** @return Duration of the present overload; zero if there is none. */
-	Duration Age(TimePoint now) const { return now - this->last > QUIET ? Duration(0) : now - this->first; }
+	Duration Age(TimePoint now) const { return now - this->last > QUIET_PERIOD ? Duration(0) : now - this->first; }
 
 	/**
 	 * @param drain Expected time until the calls that wait now are dispatched.
@@ -34,7 +34,7 @@
 	Duration RetryAfter(Duration drain, uint64_t random, TimePoint now) const;
 
 private:
-	static constexpr Duration QUIET = std::chrono::seconds(1); ///< Time without rejections after which the overload is over.
+	static constexpr Duration QUIET_PERIOD = std::chrono::seconds(1); ///< Time without rejections after which the overload is over.
 
 	TimePoint first; ///< Time of the first rejection of the present overload.
 	TimePoint last;  ///< Time of the latest rejection.
--- a/src/decision/request_print.h
+++ b/src/decision/request_fingerprint.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file request_print.h Fingerprints of requests, by which retries of a caller are recognised. */
+/** @file request_fingerprint.h Fingerprints of requests, by which retries of a caller are recognised. */
 
 #pragma once
 
@@ -12,7 +12,7 @@
 namespace cottonspool {
 
 /** Hash of a request that is equal for all attempts of its caller, on all instances; zero stands for none. */
-using RequestPrint = StrongId<struct RequestPrintTag, uint64_t>;
+using RequestFingerprint = StrongId<struct RequestFingerprintTag, uint64_t>;
 
 /** The parts of a request that are equal when its caller retries it; request id, time limit and API key may differ. */
 struct RequestIdentity {
@@ -24,12 +24,12 @@
 };
 
 /** @return The fingerprint of the request \a identity; never zero. */
-RequestPrint PrintRequest(const RequestIdentity &identity);
+RequestFingerprint ComputeFingerprint(const RequestIdentity &identity);
 
-/** @return \a print as 16 hexadecimal digits. */
-std::string PrintText(RequestPrint print);
+/** @return \a fingerprint as 16 hexadecimal digits. */
+std::string FormatFingerprint(RequestFingerprint fingerprint);
 
 /** @return The fingerprint in \a text, or nothing if it is malformed or zero. */
-std::optional<RequestPrint> ParsePrint(std::string_view text);
+std::optional<RequestFingerprint> ParseFingerprint(std::string_view text);
 
 } // namespace cottonspool
--- a/src/decision/request_type.h
+++ b/src/decision/request_type.h
@@ -6,8 +6,8 @@
 
 #include "core/id_type.h"
 #include "core/time_type.h"
-#include "decision/bound_type.h"
-#include "decision/request_print.h"
+#include "decision/request_fingerprint.h"
+#include "decision/restriction_type.h"
 #include <array>
 #include <optional>
 #include <string>
@@ -26,10 +26,10 @@
 std::optional<ServiceClass> ParseServiceClass(std::string_view name);
 
 /** Whether a request was executed, as reported to its caller. */
-enum class RanState : uint8_t { No, Yes, Unknown };
+enum class ExecutionState : uint8_t { No, Yes, Unknown };
 
 /** @return The name of \a ran as written in answers. */
-const char *RanStateName(RanState ran);
+const char *ExecutionStateName(ExecutionState ran);
 
 /** A data hall in which a call may run, from traffic shares or a policy. */
 struct HallPreference {
@@ -53,23 +53,23 @@
 	TimePoint deadline;                                     ///< Time at which it is rejected if it still waits.
 	std::vector<HallPreference> halls;                      ///< Data halls in order of preference; empty for any.
 	bool generated = true;                                  ///< Whether it is a generation of a model; false for a service call.
-	TimePoint ends_at = TimePoint::max();                   ///< Latest time for its complete answer.
+	TimePoint response_deadline = TimePoint::max();         ///< Latest time for its complete answer.
 	Duration objective{0};                                  ///< Latency objective for its answer or first event; zero for none.
-	double other_hall_penalty = 0.10;        ///< Pressure advantage that a hall needs to be chosen over the one preferred before it.
-	uint32_t max_attempts = 0;               ///< Maximum number of attempts; 0 for the dispatcher's default.
-	TimePoint press_from = TimePoint::max(); ///< From then on it may overcommit a target that has no headroom, up to a limit.
-	std::vector<TargetNumber> avoid;         ///< Targets that get it only if no other may.
-	bool avoid_strictly = false;             ///< Targets in \c avoid never get it.
-	bool avoid_cold = false;                 ///< Cold targets never get it.
-	RequestPrint print;                      ///< Fingerprint; zero for none.
+	double other_hall_penalty = 0.10;             ///< Pressure advantage that a hall needs to be chosen over the one preferred before it.
+	uint32_t max_attempts = 0;                    ///< Maximum number of attempts; 0 for the dispatcher's default.
+	TimePoint overcommit_from = TimePoint::max(); ///< From then on it may overcommit a target that has no headroom, up to a limit.
+	std::vector<TargetNumber> avoid;              ///< Targets that get it only if no other may.
+	bool exclude_avoided = false;                 ///< Targets in \c avoid never get it.
+	bool exclude_cold = false;                    ///< Cold targets never get it.
+	RequestFingerprint fingerprint;               ///< Fingerprint; zero for none.
 };
 
 /** Why a call was rejected. */
-enum class GiveUpReason : uint8_t { DeadlinePassed, WaitTooLong, QueueFull, NoTarget, RetryBudget, Quarantined, AllBound };
-constexpr size_t GIVE_UP_REASON_COUNT = 7;
+enum class RejectReason : uint8_t { DeadlinePassed, WaitTooLong, QueueFull, NoTarget, RetryBudget, Quarantined, AllRestricted };
+constexpr size_t REJECT_REASON_COUNT = 7;
 
 /** @return The name of \a reason as written in answers and metrics. */
-const char *GiveUpReasonName(GiveUpReason reason);
+const char *RejectReasonName(RejectReason reason);
 
 /** Decision to send a call to a target. */
 struct SendAction {
@@ -79,17 +79,17 @@
 };
 
 /** Decision to reject a call. */
-struct GiveUpAction {
+struct RejectAction {
 	CallId call;
-	GiveUpReason reason;
-	Duration retry_after; ///< Retry-After for the caller.
-	BoundCounts bounds{}; ///< Number of targets under each restriction; set for GiveUpReason::AllBound.
+	RejectReason reason;
+	Duration retry_after;             ///< Retry-After for the caller.
+	RestrictionCounts restrictions{}; ///< Number of targets under each restriction; set for RejectReason::AllRestricted.
 };
 
 /** Decisions that follow from one event, in order of execution. */
 struct Decisions {
-	std::vector<SendAction> sends;      ///< Calls to send.
-	std::vector<GiveUpAction> give_ups; ///< Calls to reject.
+	std::vector<SendAction> sends;        ///< Calls to send.
+	std::vector<RejectAction> rejections; ///< Calls to reject.
 };
 
 /** Load report of a target. */
@@ -102,7 +102,7 @@
 	uint64_t waiting_tokens = 0;    ///< Prompt tokens of the waiting calls.
 	uint64_t preemptions = 0;       ///< Preemptions since the start of the target.
 	Duration age{0};                ///< Age of the report at its receipt.
-	bool leaving = false;           ///< Whether the target is draining.
+	bool draining = false;          ///< Whether the target is draining.
 	std::string incarnation;        ///< Identifies the run of the target's process; changes with each restart.
 	std::vector<uint64_t> prefixes; ///< Hashes of cached prompt prefixes; may be outdated or incomplete.
 };
--- a/src/decision/router_base.h
+++ b/src/decision/router_base.h
@@ -22,7 +22,7 @@
 struct HeadroomRules {
 	bool use_headroom = true;    ///< Let a call wait while no target has headroom for its expected length.
 	bool use_interval = true;    ///< Prefer targets with a shorter time between tokens than the median.
-	bool use_press = true;       ///< Let interactive calls, and others after CallSpec::press_from, overcommit a target up to a limit.
+	bool use_overcommit = true;  ///< Let interactive calls, and others after CallSpec::overcommit_from, overcommit a target up to a limit.
 	bool use_prefix = true;      ///< Prefer targets that have the prompt's prefix cached.
 	bool use_first_token = true; ///< Prefer targets with a short time to first token.
 };
--- a/src/decision/serving_type.h
+++ b/src/decision/serving_type.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "core/time_type.h"
-#include "decision/target_life.h"
+#include "decision/target_incarnation.h"
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -14,7 +14,7 @@
 namespace cottonspool {
 
 /** Type of a route: whether its requests may be retried and how they are answered. */
-enum class RunKind : uint8_t {
+enum class RouteType : uint8_t {
 	Repeatable, ///< Requests may be executed more than once.
 	Once,       ///< Requests are executed at most once.
 	Stream,     ///< Streamed generations, executed at most once.
@@ -28,18 +28,18 @@
 
 /** A route: which requests it matches and how they are served. */
 struct Route {
-	std::string name;                   ///< Name in logs and metrics.
-	std::string host;                   ///< Host of the requests it matches.
-	std::string path_prefix;            ///< Prefix of the paths it matches; ends in a slash.
-	RunKind kind = RunKind::Repeatable; ///< Type of the route.
-	std::vector<WeightedPool> pools;    ///< Pools that serve its requests.
-	uint32_t max_attempts = 1;          ///< Maximum number of attempts per request.
-	Duration timeout{0};                ///< Time limit for a complete answer.
-	Duration objective{0};              ///< Latency objective for an answer or its first event.
-	Duration gap_objective{0};          ///< Objective for the time between events; zero for none.
-	int rank = 0;                       ///< Priority of its requests; 0 goes first.
-	bool needs_key = true;              ///< Whether requests need the API key of a client account.
-	std::vector<std::string> homes;     ///< Regions in which its requests may run; empty for all.
+	std::string name;                       ///< Name in logs and metrics.
+	std::string host;                       ///< Host of the requests it matches.
+	std::string path_prefix;                ///< Prefix of the paths it matches; ends in a slash.
+	RouteType kind = RouteType::Repeatable; ///< Type of the route.
+	std::vector<WeightedPool> pools;        ///< Pools that serve its requests.
+	uint32_t max_attempts = 1;              ///< Maximum number of attempts per request.
+	Duration timeout{0};                    ///< Time limit for a complete answer.
+	Duration objective{0};                  ///< Latency objective for an answer or its first event.
+	Duration gap_objective{0};              ///< Objective for the time between events; zero for none.
+	int priority_level = 0;                 ///< Priority of its requests; 0 goes first.
+	bool requires_key = true;               ///< Whether requests need the API key of a client account.
+	std::vector<std::string> home_regions;  ///< Regions in which its requests may run; empty for all.
 };
 
 /** Properties of the engines of a pool. */
@@ -49,7 +49,7 @@
 	double bytes_per_token = 0;    ///< KV cache size per token, in bytes.
 	double link_mbps = 0;          ///< Bandwidth of an engine's link for KV cache transfers, in Mbit/s; 0 if unknown.
 	uint32_t tokens_per_event = 1; ///< Tokens per event of a stream.
-	bool can_move = false;         ///< Whether runs can migrate to another engine.
+	bool can_migrate = false;      ///< Whether runs can migrate to another engine.
 	bool can_back_up = false;      ///< Whether runs can be backed up on another engine.
 };
 
@@ -69,15 +69,15 @@
 	uint32_t max_connections = 0;     ///< Maximum number of connections to a target from all its clients; 0 if unknown.
 	std::optional<EnginePool> engine; ///< Properties of the engines; nothing for a pool of services.
 	Duration cold_start{0};           ///< Duration of the cold start of a target.
-	double cold_per_s = 0;            ///< Maximum requests per second to a cold target, from all instances together; 0 for no limit.
+	double cold_rate = 0;             ///< Maximum requests per second to a cold target, from all instances together; 0 for no limit.
 };
 
 /** A client account. */
 struct ClientAccount {
-	std::string name;               ///< Name, which is sent to targets.
-	std::vector<std::string> keys;  ///< API keys.
-	std::optional<int> rank;        ///< Priority of its requests; takes precedence over the route's.
-	std::vector<std::string> homes; ///< Regions in which its requests may run; empty for all.
+	std::string name;                      ///< Name, which is sent to targets.
+	std::vector<std::string> keys;         ///< API keys.
+	std::optional<int> priority_level;     ///< Priority of its requests; takes precedence over the route's.
+	std::vector<std::string> home_regions; ///< Regions in which its requests may run; empty for all.
 };
 
 /** Limits on the requests and connections of callers. */
@@ -100,20 +100,20 @@
 
 /** A target as described by its own heartbeat row. */
 struct ListedTarget {
-	TargetLife life;       ///< Id and start time.
-	std::string pool;      ///< Name of its pool.
-	std::string address;   ///< IP:PORT.
-	std::string hall;      ///< Name of its data hall.
-	uint32_t slots = 1;    ///< Maximum number of concurrent requests.
-	bool leaving = false;  ///< Whether it is draining.
-	uint64_t sequence = 0; ///< Increases with each heartbeat.
-	Duration cold_left{0}; ///< Remaining time of its cold start.
+	TargetIncarnation incarnation; ///< Id and start time.
+	std::string pool;              ///< Name of its pool.
+	std::string address;           ///< IP:PORT.
+	std::string hall;              ///< Name of its data hall.
+	uint32_t slots = 1;            ///< Maximum number of concurrent requests.
+	bool draining = false;         ///< Whether it is draining.
+	uint64_t sequence = 0;         ///< Increases with each heartbeat.
+	Duration cold_remaining{0};    ///< Remaining time of its cold start.
 
 	/** @return Whether \a other differs at most in its identity and sequence. */
-	bool SaysSameAs(const ListedTarget &other) const
+	bool HasSameContent(const ListedTarget &other) const
 	{
 		return this->pool == other.pool && this->address == other.address && this->hall == other.hall && this->slots == other.slots &&
-		       this->leaving == other.leaving && this->cold_left == other.cold_left;
+		       this->draining == other.draining && this->cold_remaining == other.cold_remaining;
 	}
 };
 
--- a/src/decision/target_life.h
+++ b/src/decision/target_incarnation.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_life.h Identity of one incarnation of a target: its id and the start time of its process. */
+/** @file target_incarnation.h Identity of one incarnation of a target: its id and the start time of its process. */
 
 #pragma once
 
@@ -14,11 +14,11 @@
  * One incarnation of a target. A target may restart under the same id; its runs, load, backups, caches and failures don't outlive the
  * process, so all tables and all updates between instances refer to incarnations.
  */
-struct TargetLife {
-	std::string id;    ///< Id of the target in the target list.
-	uint64_t born = 0; ///< Start time of the process by the target's clock, in milliseconds since the Unix epoch; 0 if unknown.
+struct TargetIncarnation {
+	std::string id;          ///< Id of the target in the target list.
+	uint64_t started_ms = 0; ///< Start time of the process by the target's clock, in milliseconds since the Unix epoch; 0 if unknown.
 
-	auto operator<=>(const TargetLife &) const = default;
+	auto operator<=>(const TargetIncarnation &) const = default;
 
 	/**
 	 * @return The name: the id and, if known, a short form of the start time, as "id@start". The short form wraps around after about
@@ -27,7 +27,7 @@
 	std::string Name() const;
 
 	/** @return Whether the start time \a told belongs to another incarnation than this one; false if either is unknown. */
-	bool IsOther(uint64_t told) const { return this->born != 0 && told != 0 && told != this->born; }
+	bool IsOtherIncarnation(uint64_t told) const { return this->started_ms != 0 && told != 0 && told != this->started_ms; }
 };
 
 } // namespace cottonspool
--- a/src/decision/target_limit.h
+++ b/src/decision/target_rate_limit.h
@@ -1,27 +1,27 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_limit.h Rate limit that a target advertises in its answers, and this instance's share of it. */
+/** @file target_rate_limit.h Rate limit that a target advertises in its answers, and this instance's share of it. */
 
 #pragma once
 
 #include "decision/limit_leases.h"
 #include "decision/rate_share.h"
-#include "decision/target_signs.h"
+#include "decision/target_signals.h"
 
 namespace cottonspool {
 
 /** Window in which a target counts requests against the rate limit that it advertises. */
-constexpr Duration LIMIT_SPAN = std::chrono::seconds(4);
+constexpr Duration RATE_LIMIT_WINDOW = std::chrono::seconds(4);
 
 /** Rate limit of one target: the requests per second that it accepts from all instances together, while its answers advertise it. */
-class TargetLimit {
+class TargetRateLimit {
 public:
 	/**
 	 * Handle an answer to a request that was sent at \a asked. Answers on several connections can arrive out of order, so the limit is
 	 * raised or removed only if the request was sent after the latest advertisement, but lowered at once.
 	 * @return Whether the limit has changed.
 	 */
-	bool OnAnswer(const TargetSigns &signs, TimePoint asked, TimePoint now);
+	bool OnAnswer(const TargetSignals &signals, TimePoint asked, TimePoint now);
 
 	/** Set this instance's own share of the limit. */
 	void SetShare(RateShare to_keep)
@@ -40,7 +40,7 @@
 	uint32_t Allowance(TimePoint now) const
 	{
 		uint32_t lent = this->leases.Lent(now);
-		return this->share.most - std::min(this->share.most, lent) + this->leases.Borrowed(now);
+		return this->share.max_requests - std::min(this->share.max_requests, lent) + this->leases.Borrowed(now);
 	}
 
 	/**
@@ -51,36 +51,36 @@
 	 */
 	uint32_t Lend(const std::string &borrower, uint32_t wanted, uint32_t own, TimePoint now)
 	{
-		LeaseSource source{this->share.most, this->gate.SentLately(now), own, this->gate.Window()};
+		LendableShare source{this->share.max_requests, this->gate.SentInWindow(now), own, this->gate.Window()};
 		return this->named ? this->leases.Lend(borrower, wanted, source, now) : 0;
 	}
 
 	/** @return Whether this instance needs leases from other instances for a demand of \a demand requests per window. */
 	bool WantsLeases(uint32_t demand, TimePoint now) const
 	{
-		return this->leases.Borrowed(now) > 0 || LimitLeases::IsShort(demand, this->Allowance(now));
+		return this->leases.Borrowed(now) > 0 || LimitLeases::NeedsMore(demand, this->Allowance(now));
 	}
 
 	/** @return The lease requests to send to \a owners, which have shares of the limit, for a demand of \a demand requests per window. */
-	std::vector<LeaseAsk> Ask(const std::vector<std::string> &owners, uint32_t demand, TimePoint now)
+	std::vector<LeaseRequest> BuildRequests(const std::vector<std::string> &owners, uint32_t demand, TimePoint now)
 	{
-		return this->leases.Ask(owners, demand, this->Allowance(now), now);
+		return this->leases.BuildRequests(owners, demand, this->Allowance(now), now);
 	}
 
 	/** Handle the answer of \a owner to lease request \a number, which grants \a granted requests per window. */
 	void OnGranted(const std::string &owner, uint64_t number, uint32_t granted) { this->leases.OnGranted(owner, number, granted); }
 
 	/** @return Whether the target advertises a limit. */
-	bool IsNamed() const { return this->named; }
+	bool IsActive() const { return this->named; }
 
 	/** @return When the limit was last advertised. */
-	TimePoint HeardAt() const { return this->heard; }
+	TimePoint LastReportedAt() const { return this->heard; }
 
 	/** @return The limit; only meaningful while one is advertised. */
-	RateBound Bound() const { return {this->per_second, LIMIT_SPAN}; }
+	RateLimit Bound() const { return {this->per_second, RATE_LIMIT_WINDOW}; }
 
 	/** @return Whether this instance may send a request at \a now. */
-	bool MaySend(TimePoint now) const { return !this->named || this->gate.SentLately(now) < this->Allowance(now); }
+	bool MaySend(TimePoint now) const { return !this->named || this->gate.SentInWindow(now) < this->Allowance(now); }
 
 	/** @return Earliest time at which this instance may send a request; max() if it has no share. */
 	TimePoint FreeAt(TimePoint now) const { return this->named ? this->gate.FreeAt(this->Allowance(now), now) : now; }
@@ -89,12 +89,12 @@
 	void OnSent(TimePoint now) { this->gate.OnSent(now); }
 
 private:
-	RateShare share{0, LIMIT_SPAN}; ///< This instance's own share of the limit.
-	RateGate gate{LIMIT_SPAN};      ///< Requests that this instance sent lately.
-	LimitLeases leases;             ///< Shares lent and borrowed.
-	bool named = false;             ///< Whether a limit is advertised.
-	double per_second = 0;          ///< The limit, in requests per second.
-	TimePoint heard;                ///< Time of the latest advertisement.
+	RateShare share{0, RATE_LIMIT_WINDOW}; ///< This instance's own share of the limit.
+	RateGate gate{RATE_LIMIT_WINDOW};      ///< Requests that this instance sent lately.
+	LimitLeases leases;                    ///< Shares lent and borrowed.
+	bool named = false;                    ///< Whether a limit is advertised.
+	double per_second = 0;                 ///< The limit, in requests per second.
+	TimePoint heard;                       ///< Time of the latest advertisement.
 };
 
 } // namespace cottonspool
--- a/src/decision/target_registry.h
+++ b/src/decision/target_registry.h
@@ -11,14 +11,14 @@
 
 /** State change of a target. */
 enum class TargetChange : uint8_t {
-	Usable,  ///< The target is new, has changed or is available again.
-	Leaving, ///< The target gets no new requests; its runs may finish or migrate.
-	Ended,   ///< The target has terminated; its runs have failed.
+	EligibleTargets, ///< The target is new, has changed or is available again.
+	Draining,        ///< The target gets no new requests; its runs may finish or migrate.
+	Terminated,      ///< The target has terminated; its runs have failed.
 };
 
 /** One change of the registry. */
 struct TargetEvent {
-	TargetChange change = TargetChange::Usable;
+	TargetChange change = TargetChange::EligibleTargets;
 	ListedTarget target;     ///< The target as last listed.
 	const char *source = ""; ///< Origin of the information, for logs.
 };
@@ -31,15 +31,15 @@
 
 /** Parameters of the registry. */
 struct RegistryLimits {
-	Duration lapse_grace = std::chrono::seconds(2); ///< Time after a store outage for which targets with an expired row remain usable.
-	Duration remembered = std::chrono::minutes(2);  ///< Time for which terminated targets and those without a row are remembered.
+	Duration expiry_grace = std::chrono::seconds(2); ///< Time after a store outage for which targets with an expired row remain usable.
+	Duration departed_retention = std::chrono::minutes(2); ///< Time for which terminated targets and those without a row are remembered.
 	/**
 	 * Time after a restore of the store from a backup for which its rows of targets that were already gone are ignored: the backup may
 	 * contain targets that have left since.
 	 */
-	Duration copy_doubted = std::chrono::seconds(30);
-	size_t lapse_least = 3;   ///< Minimum number of rows that must disappear at once to be taken for expired ones.
-	double lapse_part = 0.34; ///< Minimum fraction of the usable targets for the same.
+	Duration restore_distrust_period = std::chrono::seconds(30);
+	size_t mass_expiry_min_rows = 3;        ///< Minimum number of rows that must disappear at once to be taken for expired ones.
+	double mass_expiry_min_fraction = 0.34; ///< Minimum fraction of the usable targets for the same.
 };
 
 /**
@@ -52,7 +52,7 @@
 	explicit TargetRegistry(RegistryLimits limits) : limits(limits) {}
 
 	/** Handle the full list. */
-	std::vector<TargetEvent> OnAll(const std::vector<TargetRow> &rows, TimePoint now);
+	std::vector<TargetEvent> OnFullList(const std::vector<TargetRow> &rows, TimePoint now);
 
 	/** Handle written and removed rows. */
 	std::vector<TargetEvent> OnChanges(const std::vector<TargetRow> &rows, TimePoint now);
@@ -61,16 +61,16 @@
 	 * Handle a drain notice from the target incarnation \a name itself, which is final, whatever the list shows.
 	 * @param source Origin of the notice, for logs.
 	 */
-	std::vector<TargetEvent> OnOwnNotice(const std::string &name, const char *source, TimePoint now);
+	std::vector<TargetEvent> OnDrainNotice(const std::string &name, const char *source, TimePoint now);
 
 	/** Handle an answer from another incarnation at the address of the target incarnation \a name. */
-	std::vector<TargetEvent> OnOtherLife(const std::string &name, TimePoint now);
+	std::vector<TargetEvent> OnOtherIncarnation(const std::string &name, TimePoint now);
 
 	/** Handle the end of a store outage. */
-	void OnStoreRegained(TimePoint now);
+	void OnStoreReconnected(TimePoint now);
 
-	/** Handle a restore of the store from a backup; OnAll() is called next. */
-	void OnOtherStore(TimePoint now);
+	/** Handle a restore of the store from a backup; OnFullList() is called next. */
+	void OnStoreRestored(TimePoint now);
 
 	/** Apply timeouts and forget old targets. */
 	std::vector<TargetEvent> OnTick(TimePoint now);
@@ -81,27 +81,27 @@
 private:
 	/** One target incarnation. */
 	struct Entry {
-		ListedTarget target;      ///< The target as last listed.
-		bool departed = false;    ///< Whether it is draining or has terminated; final.
-		bool ended = false;       ///< Whether its termination was reported.
-		bool missing = false;     ///< Whether its row is missing.
-		bool usable = true;       ///< Whether it was last reported as usable.
-		TimePoint missing_since;  ///< When its row disappeared.
-		TimePoint usable_until;   ///< Until then it is usable without a row, after a store outage.
-		TimePoint doubted_until;  ///< Until then an unchanged row is ignored, after a restore of the store.
-		bool listed_anew = false; ///< Whether such a row is in the list.
+		ListedTarget target;        ///< The target as last listed.
+		bool departed = false;      ///< Whether it is draining or has terminated; final.
+		bool ended = false;         ///< Whether its termination was reported.
+		bool missing = false;       ///< Whether its row is missing.
+		bool usable = true;         ///< Whether it was last reported as usable.
+		TimePoint missing_since;    ///< When its row disappeared.
+		TimePoint usable_until;     ///< Until then it is usable without a row, after a store outage.
+		TimePoint distrusted_until; ///< Until then an unchanged row is ignored, after a restore of the store.
+		bool relisted = false;      ///< Whether such a row is in the list.
 	};
 
-	void End(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
-	void Judge(Entry &entry, const char *source, bool changed, TimePoint now, std::vector<TargetEvent> &events);
-	void NoteMissing(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
-	void Note(const ListedTarget &target, bool whole, TimePoint now, std::vector<TargetEvent> &events);
-	void NoteAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	void Terminate(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	void UpdateUsable(Entry &entry, const char *source, bool changed, TimePoint now, std::vector<TargetEvent> &events);
+	void MarkMissing(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	void ApplyRow(const ListedTarget &target, bool full, TimePoint now, std::vector<TargetEvent> &events);
+	void MarkAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events);
 
 	RegistryLimits limits;
 	std::map<std::string, Entry> entries;      ///< Incarnations by name.
 	std::map<std::string, std::string> newest; ///< Name of the latest incarnation of each target, by id.
-	TimePoint lapse_until;                     ///< Until then missing rows are taken for expired ones.
+	TimePoint expiry_grace_until;              ///< Until then missing rows are taken for expired ones.
 };
 
 } // namespace cottonspool
--- a/src/decision/target_table.h
+++ b/src/decision/target_table.h
@@ -6,7 +6,7 @@
 
 #include "core/name_table.h"
 #include "decision/length_estimate.h"
-#include "decision/target_bounds.h"
+#include "decision/target_restrictions.h"
 #include <deque>
 #include <map>
 #include <set>
@@ -15,14 +15,14 @@
 namespace cottonspool {
 
 /** Parameters of admission to targets and of outlier ejection. */
-struct TargetLimits {
+struct AdmissionLimits {
 	std::array<double, SERVICE_CLASS_COUNT> fill{0.97, 0.93, 0.75}; ///< Fraction of a target's memory for each class.
 	Duration report_stale = std::chrono::seconds(6);                ///< Age at which a load report is ignored.
 	double growth_start = 0.7;                                      ///< Initial fraction of the expected output that is reserved.
 	double share_max = 6;                          ///< Maximum share of the headroom for an instance, as a multiple of an equal share.
 	double growth_min = 0.1;                       ///< Minimum fraction that is reserved.
 	double growth_max = 2.0;                       ///< Maximum fraction that is reserved.
-	uint32_t eject_unreached = 2;                  ///< Consecutive failed connects after which a target is ejected.
+	uint32_t eject_connect_failures = 2;           ///< Consecutive failed connects after which a target is ejected.
 	uint32_t eject_failures = 3;                   ///< Consecutive failed calls after which a target is ejected.
 	Duration eject_base = std::chrono::seconds(1); ///< Duration of the first ejection; doubles with each further one.
 	Duration eject_max = std::chrono::seconds(30); ///< Maximum duration of an ejection.
@@ -32,9 +32,9 @@
 };
 
 /** Result of one call for the health of its target. */
-enum class TargetConduct : uint8_t {
-	Well,        ///< The target answered.
-	TurnedAway,  ///< The target asked for a pause; does not affect its health.
+enum class SendResult : uint8_t {
+	Answered,    ///< The target answered.
+	Rejected,    ///< The target asked for a pause; does not affect its health.
 	Failed,      ///< The target answered with a failure or broke off.
 	Unreachable, ///< No connection to the target could be established.
 };
@@ -42,11 +42,11 @@
 /** A call in flight at a target, of this instance or of a peer. */
 struct InFlightCall {
 	CallSpec call;
-	uint32_t generated = 0;   ///< Output tokens so far.
-	double residual = 0;      ///< Expected remaining output tokens.
-	TimePoint sent;           ///< When it was sent.
-	TimePoint last_token;     ///< When the last token arrived.
-	bool reads_alone = false; ///< Whether no other known prefill was pending when it was sent, so that its time gives the prefill rate.
+	uint32_t generated = 0;      ///< Output tokens so far.
+	double residual = 0;         ///< Expected remaining output tokens.
+	TimePoint sent;              ///< When it was sent.
+	TimePoint last_token;        ///< When the last token arrived.
+	bool prefills_alone = false; ///< Whether no other known prefill was pending when it was sent, so that its time gives the prefill rate.
 };
 
 /** Load of a set of calls at a target. */
@@ -56,37 +56,37 @@
 };
 
 /** Load of the calls of another data hall at a target, as published by that hall. */
-struct ToldLoad {
+struct RemoteHallLoad {
 	HeldLoad held;
 	TimePoint heard; ///< When it was received.
 };
 
 /** State of one target as seen by this instance. */
 struct TargetState {
-	std::string name;                     ///< Unique name.
-	std::string hall;                     ///< Data hall of the target.
-	bool engine = true;                   ///< Whether it is an engine; false for a service, whose capacity is counted in calls.
-	std::set<ModelNumber> models;         ///< Models (or the service) that it serves.
-	TargetBounds bounds;                  ///< Restrictions on requests to it.
-	LoadReport report;                    ///< Latest load report.
-	TimePoint report_at;                  ///< When the latest report arrived.
-	double known_at_report = 0;           ///< Tokens of known calls that are included in the latest report.
-	uint32_t known_calls_at_report = 0;   ///< Number of known calls that are included in the latest report.
-	double sent_since_report = 0;         ///< Expected memory of known calls sent since the latest report, in tokens.
-	double copied_since_report = 0;       ///< Tokens of backups made since the latest report.
-	double growth = 0.7;                  ///< Fraction of the expected remaining output that is reserved.
-	double share_factor = 2;              ///< Share of the reported headroom for this instance, as a multiple of an equal share.
-	double known_tokens = 0;              ///< Tokens in memory of known calls, which are those of this instance and its peers.
-	double known_residual = 0;            ///< Expected remaining output tokens of known calls.
-	uint32_t unread_prompts = 0;          ///< Known calls without a first token.
-	TimePoint prompts_read_at;            ///< Expected end of the prefills of all known calls.
-	std::map<std::string, ToldLoad> told; ///< Load of the calls of other data halls, by hall.
-	TimePoint told_read_at;               ///< Expected end of all prefills, as published by the target's own hall.
-	bool slow = false;                    ///< Whether it is much slower than the median; see RefreshSlow().
+	std::string name;                   ///< Unique name.
+	std::string hall;                   ///< Data hall of the target.
+	bool engine = true;                 ///< Whether it is an engine; false for a service, whose capacity is counted in calls.
+	std::set<ModelNumber> models;       ///< Models (or the service) that it serves.
+	TargetRestrictions restrictions;    ///< Restrictions on requests to it.
+	LoadReport report;                  ///< Latest load report.
+	TimePoint report_at;                ///< When the latest report arrived.
+	double known_at_report = 0;         ///< Tokens of known calls that are included in the latest report.
+	uint32_t known_calls_at_report = 0; ///< Number of known calls that are included in the latest report.
+	double sent_since_report = 0;       ///< Expected memory of known calls sent since the latest report, in tokens.
+	double copied_since_report = 0;     ///< Tokens of backups made since the latest report.
+	double growth = 0.7;                ///< Fraction of the expected remaining output that is reserved.
+	double share_factor = 2;            ///< Share of the reported headroom for this instance, as a multiple of an equal share.
+	double known_tokens = 0;            ///< Tokens in memory of known calls, which are those of this instance and its peers.
+	double known_residual = 0;          ///< Expected remaining output tokens of known calls.
+	uint32_t pending_prefills = 0;      ///< Known calls without a first token.
+	TimePoint prefill_done_at;          ///< Expected end of the prefills of all known calls.
+	std::map<std::string, RemoteHallLoad> hall_loads; ///< Load of the calls of other data halls, by hall.
+	TimePoint remote_prefill_done_at;                 ///< Expected end of all prefills, as published by the target's own hall.
+	bool slow = false;                                ///< Whether it is much slower than the median; see UpdateSlowTargets().
 	double median_interval = 0;           ///< Median time between tokens of the targets for the same model, in seconds; 0 while unknown.
 	double interval = 0;                  ///< Smoothed time between tokens, in seconds; 0 while unknown.
 	uint32_t failures = 0;                ///< Consecutive failed calls.
-	uint32_t unreached = 0;               ///< Consecutive failed connects.
+	uint32_t connect_failures = 0;        ///< Consecutive failed connects.
 	uint32_t ejections = 0;               ///< Consecutive ejections.
 	std::set<uint64_t> reported_prefixes; ///< Cached prefixes according to the latest report.
 	std::deque<std::pair<uint64_t, TimePoint>> sent_prefixes;         ///< Prefixes of calls sent lately.
@@ -96,7 +96,7 @@
 /** All targets of one instance, by number. */
 class TargetTable {
 public:
-	TargetTable(TargetLimits limits, LengthEstimate &lengths) : limits(limits), lengths(lengths) {}
+	TargetTable(AdmissionLimits limits, LengthEstimate &lengths) : limits(limits), lengths(lengths) {}
 
 	/** Add a target or update its configuration. @return Its number. */
 	TargetNumber Configure(std::string_view name, std::string_view hall, const std::vector<ModelNumber> &models, bool engine = true);
@@ -104,62 +104,65 @@
 	/** Remove \a target from the configuration: it gets no new calls, and those in flight finish. */
 	void Forget(TargetNumber target);
 
-	/** Mark \a target as draining until ClearLeaving(). */
-	void MarkLeaving(TargetNumber target);
+	/** Mark \a target as draining until ClearDraining(). */
+	void MarkDraining(TargetNumber target);
 
 	/** Mark \a target as no longer draining. */
-	void ClearLeaving(TargetNumber target);
+	void ClearDraining(TargetNumber target);
 
 	/** Set the evacuated data halls. */
-	void SetEmptiedHalls(const std::set<std::string> &halls);
+	void SetEvacuatedHalls(const std::set<std::string> &halls);
 
 	/** Limit the requests of this instance to \a target to \a share until \a end, during its cold start. */
 	void SetCold(TargetNumber target, TimePoint end, RateShare share);
 
 	/** Handle the signals in an answer of \a target to a request sent at \a asked. @return Whether its rate limit has changed. */
-	bool OnSigns(TargetNumber target, const TargetSigns &signs, TimePoint asked, TimePoint now);
+	bool OnSignals(TargetNumber target, const TargetSignals &signals, TimePoint asked, TimePoint now);
 
 	/** Set this instance's share of the rate limit of \a target. */
-	void SetLimitShare(TargetNumber target, RateShare share) { this->targets[target.value].bounds.limit.SetShare(share); }
+	void SetLimitShare(TargetNumber target, RateShare share) { this->targets[target.value].restrictions.limit.SetShare(share); }
 
-	/** @return The lease requests to send to \a owners for the rate limit of \a target; see TargetLimit::Ask(). */
-	std::vector<LeaseAsk> AskLeases(TargetNumber target, const std::vector<std::string> &owners, uint32_t demand, TimePoint now)
+	/** @return The lease requests to send to \a owners for the rate limit of \a target; see TargetRateLimit::BuildRequests(). */
+	std::vector<LeaseRequest> RequestLeases(TargetNumber target, const std::vector<std::string> &owners, uint32_t demand, TimePoint now)
 	{
-		return this->targets[target.value].bounds.limit.Ask(owners, demand, now);
+		return this->targets[target.value].restrictions.limit.BuildRequests(owners, demand, now);
 	}
 
-	/** Lend \a borrower a part of this instance's share of the rate limit of \a target; see TargetLimit::Lend(). */
+	/** Lend \a borrower a part of this instance's share of the rate limit of \a target; see TargetRateLimit::Lend(). */
 	uint32_t Lend(TargetNumber target, const std::string &borrower, uint32_t wanted, uint32_t own, TimePoint now)
 	{
-		return this->targets[target.value].bounds.limit.Lend(borrower, wanted, own, now);
+		return this->targets[target.value].restrictions.limit.Lend(borrower, wanted, own, now);
 	}
 
-	/** Handle the answer of \a owner to lease request \a number; see TargetLimit::OnGranted(). */
+	/** Handle the answer of \a owner to lease request \a number; see TargetRateLimit::OnGranted(). */
 	void OnGranted(TargetNumber target, const std::string &owner, uint64_t number, uint32_t granted)
 	{
-		this->targets[target.value].bounds.limit.OnGranted(owner, number, granted);
+		this->targets[target.value].restrictions.limit.OnGranted(owner, number, granted);
 	}
 
 	/** @return Whether no restriction keeps \a call from \a target at \a now. */
-	bool MayGet(const TargetState &target, const CallSpec &call, TimePoint now) const { return Judge(target, call, now).IsFree(); }
+	bool IsEligible(const TargetState &target, const CallSpec &call, TimePoint now) const
+	{
+		return CheckAdmission(target, call, now).IsFree();
+	}
 
 	/** @return The restriction that keeps \a call from \a target at \a now, if any. */
-	static BoundVerdict Judge(const TargetState &target, const CallSpec &call, TimePoint now);
+	static AdmissionVerdict CheckAdmission(const TargetState &target, const CallSpec &call, TimePoint now);
 
 	/**
 	 * @param counts Receives the number of the model's targets under each restriction.
 	 * @return Earliest time at which a target may get \a call; \a now if one may get it already, max() if no restriction expires by itself.
 	 */
-	TimePoint FreeAt(const CallSpec &call, TimePoint now, BoundCounts *counts) const;
+	TimePoint FreeAt(const CallSpec &call, TimePoint now, RestrictionCounts *counts) const;
 
 	/** Count a request of this instance to \a target: a first attempt, a retry or a migrated run. */
-	void NoteRequest(TargetNumber target, TimePoint now);
+	void OnRequestSent(TargetNumber target, TimePoint now);
 
 	/** Handle a load report that arrived at \a now; reports older than the latest are dropped. */
 	void OnReport(TargetNumber target, const LoadReport &report, TimePoint now);
 
 	/** Make \a target, a service without load reports, usable with a capacity of \a slots concurrent calls. */
-	void SetUnreported(TargetNumber target, uint64_t slots);
+	void SetServiceCapacity(TargetNumber target, uint64_t slots);
 
 	/** Handle the sending of \a call of this instance to \a target. */
 	void OnSent(TargetNumber target, const CallSpec &call, TimePoint now);
@@ -168,34 +171,34 @@
 	 * Handle the sending of a peer's call, or of the backup of a run, to \a target.
 	 * @param generated Tokens generated on another target; if any, no prefill is needed.
 	 */
-	void OnForeignSent(TargetNumber target, const CallSpec &call, TimePoint now, uint32_t generated = 0);
+	void OnPeerCallSent(TargetNumber target, const CallSpec &call, TimePoint now, uint32_t generated = 0);
 
 	/** Handle the arrival of \a tokens output tokens of \a call from \a target. */
 	void OnToken(TargetNumber target, CallId call, TimePoint now, uint32_t tokens = 1);
 
 	/** Handle the migration of the run of \a call. */
-	void OnMoved(TargetNumber from, TargetNumber to, CallId call, TimePoint now);
+	void OnMigrated(TargetNumber from, TargetNumber to, CallId call, TimePoint now);
 
 	/** Handle the end of \a call at \a target and update the target's health. @return Output tokens of the call. */
-	uint32_t OnEnded(TargetNumber target, CallId call, TargetConduct conduct, TimePoint now);
+	uint32_t OnEnded(TargetNumber target, CallId call, SendResult result, TimePoint now);
 
 	/** Handle output tokens of a peer's call; they don't affect the target's measured token interval. */
-	void OnForeignToken(TargetNumber target, CallId call, TimePoint now, uint32_t tokens);
+	void OnPeerCallToken(TargetNumber target, CallId call, TimePoint now, uint32_t tokens);
 
 	/** Handle the load of the calls of \a hall at all targets, as published by that hall. */
-	void OnToldByHall(const std::string &hall, const std::map<TargetNumber, HeldLoad> &held, TimePoint now);
+	void OnHallLoad(const std::string &hall, const std::map<TargetNumber, HeldLoad> &held, TimePoint now);
 
 	/** Set the expected end of all prefills of \a target, as published by its hall. */
-	void NoteToldWait(TargetNumber target, TimePoint read_at) { this->targets[target.value].told_read_at = read_at; }
+	void SetRemotePrefillDone(TargetNumber target, TimePoint read_at) { this->targets[target.value].remote_prefill_done_at = read_at; }
 
 	/** @return Estimated load of all calls at \a target. */
-	HeldLoad HeldAt(const TargetState &target, TimePoint now) const;
+	HeldLoad TotalLoadAt(const TargetState &target, TimePoint now) const;
 
 	/** @return Load of the calls of this instance and its peers at \a target. */
-	static HeldLoad KnownAt(const TargetState &target);
+	static HeldLoad KnownLoadAt(const TargetState &target);
 
 	/** Handle the end of a peer's call; it does not affect the target's health. */
-	void OnForeignEnded(TargetNumber target, CallId call, TimePoint now);
+	void OnPeerCallEnded(TargetNumber target, CallId call, TimePoint now);
 
 	/** @return Memory of \a target, in tokens, that this instance may still fill with calls of the class of \a call. */
 	double Allowance(const TargetState &target, const CallSpec &call, TimePoint now) const;
@@ -207,28 +210,28 @@
 	static bool HasPrefix(const TargetState &target, uint64_t prefix);
 
 	/** @return Expected time until the pending prefills of known calls at \a target are done. */
-	static Duration ReadingWait(const TargetState &target, TimePoint now);
+	static Duration PrefillWait(const TargetState &target, TimePoint now);
 
 	/** @return Expected time to first token of \a call if it is sent to \a target now; prefills are assumed to run one after another. */
 	Duration FirstTokenWait(const TargetState &target, const CallSpec &call, TimePoint now) const;
 
 	/** @return Expected output length of \a call, in tokens. */
-	double ExpectedRest(const CallSpec &call) const { return call.generated ? this->lengths.Residual(call, 0) : 0; }
+	double ExpectedOutput(const CallSpec &call) const { return call.generated ? this->lengths.Residual(call, 0) : 0; }
 
 	/** Handle the backup of a run, with an expected size of \a tokens, at \a target; counted until the next report includes it. */
 	void OnBackup(TargetNumber target, double tokens) { this->targets[target.value].copied_since_report += tokens; }
 
 	/** @return Learned prefill rate of an engine, in tokens per second. */
-	double PromptRate() const { return this->prompt_rate; }
+	double PrefillRate() const { return this->prefill_rate; }
 
 	/** @return Memory in use and reserved at \a target, relative to its capacity; above 1 if it is overcommitted. */
 	double Pressure(const TargetState &target, TimePoint now) const;
 
 	/** Update which targets are much slower than the median; to be called about once a second. */
-	void RefreshSlow();
+	void UpdateSlowTargets();
 
 	/** Set the index of this instance among the \a count instances that share the targets. */
-	void SetInstances(uint32_t rank, uint32_t count);
+	void SetInstances(uint32_t instance_index, uint32_t count);
 
 	/** @return The state of \a target. */
 	const TargetState &Get(TargetNumber target) const { return this->targets[target.value]; }
@@ -253,22 +256,22 @@
 	void EjectUnreachable(TargetState &target, TimePoint now);
 	double OthersCommitted(const TargetState &target, TimePoint now) const;
 	/** @return Estimated load of unknown calls at \a target, from its report and from other data halls. */
-	static HeldLoad OthersAt(const TargetState &target, TimePoint now);
+	static HeldLoad OthersLoadAt(const TargetState &target, TimePoint now);
 	void AddTokens(TargetState &target, InFlightCall &flight, TimePoint now, uint32_t tokens);
-	uint32_t TakeOut(TargetState &target, CallId call, TimePoint now);
-	void NotePromptSent(TargetState &target, InFlightCall &flight, TimePoint now) const;
-	void NotePromptRead(TargetState &target, const InFlightCall &flight, TimePoint now);
+	uint32_t RemoveCall(TargetState &target, CallId call, TimePoint now);
+	void OnPrefillQueued(TargetState &target, InFlightCall &flight, TimePoint now) const;
+	void OnPrefillDone(TargetState &target, const InFlightCall &flight, TimePoint now);
 
-	TargetLimits limits;
+	AdmissionLimits limits;
 	LengthEstimate &lengths;                                          ///< Output length estimate.
 	std::vector<TargetState> targets;                                 ///< Targets by number.
 	std::unordered_map<std::string, TargetNumber> numbers;            ///< Numbers by name.
-	std::set<std::string> emptied_halls;                              ///< Evacuated data halls.
+	std::set<std::string> evacuated_halls;                            ///< Evacuated data halls.
 	std::unordered_map<uint32_t, std::vector<TargetNumber>> by_model; ///< Configured targets by model.
-	uint32_t rank = 0;                                                ///< Index of this instance among them.
+	uint32_t instance_index = 0;                                      ///< Index of this instance among them.
 	uint32_t instances = 1;                                           ///< Number of instances that share the targets.
 	double mean_residual = 128; ///< Smoothed expected remaining output of a call, used for unknown calls.
-	double prompt_rate = 7000;  ///< Smoothed prefill rate, in tokens per second.
+	double prefill_rate = 7000; ///< Smoothed prefill rate, in tokens per second.
 };
 
 } // namespace cottonspool
--- /dev/null
+++ b/src/gateway/gateway_signals.cpp
@@ -0,0 +1,117 @@
+/* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
+
+/** @file gateway_signals.cpp What a gateway learns of a target from the target's own answers. */
+
+#include "gateway/gateway.h"
+#include "metrics/log.h"
+
+namespace cottonspool {
+
+static constexpr Duration SIGNALS_LOG_INTERVAL = std::chrono::seconds(1); ///< Least time between lines about one target.
+
+void Gateway::OnAnswerHead(const RelayRequest &request, TargetNumber number, const AnswerInfo &answer, TimePoint asked)
+{
+	if (answer.load) this->OnLoadHeader(number, *answer.load);
+	TimePoint now = MonotonicNow();
+	this->LogSignals(request, number, answer.signals, now);
+	if (answer.signals.draining) this->OnTargetDrainNotice(this->records[number.value].incarnation.Name(), "answer", now);
+	bool limit_changed = this->dispatcher.Targets().OnSignals(number, answer.signals, asked, now);
+	if (limit_changed) this->OnLimitChanged(number, "answer", asked, now);
+	if (limit_changed) this->peers.PublishSignals(this->LimitUpdateOf(number, now), asked);
+	if (limit_changed || answer.signals.pause > Duration(0)) this->Execute(this->dispatcher.OnPlacementChanged(now));
+}
+
+void Gateway::OnTargetDrainNotice(const std::string &target, const char *source, TimePoint now)
+{
+	// Its own word is final also while the list is silent: the store may be away, and a plain service tells it nowhere else.
+	std::vector<TargetEvent> events = this->registry.OnDrainNotice(target, source, now);
+	if (events.empty()) return;
+	this->drain_notices[target] = now;
+	this->peers.PublishSignals({.target = target, .draining = true}, now);
+	this->OnTargetEvents(events, now);
+}
+
+TargetSignalUpdate Gateway::LimitUpdateOf(TargetNumber number, TimePoint now) const
+{
+	const TargetState &target = this->dispatcher.Targets().Get(number);
+	TargetSignalUpdate news{.target = target.name};
+	news.limit = target.restrictions.limit.IsActive() ? SignalState::Present : SignalState::Absent;
+	news.limit_per_s = target.restrictions.limit.IsActive() ? target.restrictions.limit.Bound().per_second : 0;
+	static constexpr Duration OLDEST = std::chrono::minutes(10); ///< What is older says no more than this.
+	news.request_age = std::min(OLDEST, now - target.restrictions.limit.LastReportedAt());
+	return news;
+}
+
+std::vector<TargetSignalUpdate> Gateway::KnownSignals(TimePoint now) const
+{
+	std::vector<TargetSignalUpdate> all;
+	for (TargetNumber number : this->limited) all.push_back(this->LimitUpdateOf(number, now));
+	for (const auto &[target, at] : this->drain_notices) all.push_back({.target = target, .draining = true, .request_age = now - at});
+	return all;
+}
+
+void Gateway::OnPeerSignals(const TargetSignalUpdate &news)
+{
+	TimePoint now = MonotonicNow();
+	std::optional<TargetNumber> number = this->dispatcher.Targets().Find(news.target);
+	if (news.draining) this->OnTargetDrainNotice(news.target, "peer", now);
+	if (!number || news.limit == SignalState::Unreadable) return;
+	TargetSignals signals;
+	signals.limit = news.limit;
+	signals.limit_per_s = news.limit_per_s;
+	TimePoint asked = now - news.request_age;
+	if (!this->dispatcher.Targets().OnSignals(*number, signals, asked, now)) return;
+	this->OnLimitChanged(*number, "peer", asked, now);
+	this->Execute(this->dispatcher.OnPlacementChanged(now));
+}
+
+void Gateway::OnLimitChanged(TargetNumber number, const char *source, TimePoint asked, TimePoint now)
+{
+	const TargetRateLimit &limit = this->dispatcher.Targets().Get(number).restrictions.limit;
+	if (limit.IsActive()) this->limited.insert(number);
+	if (!limit.IsActive()) this->limited.erase(number);
+	this->UpdateLimitShare(number, now);
+	TargetRecord &record = this->records[number.value];
+	bool was_named = record.limited_as_logged;
+	if (was_named == limit.IsActive() && now - record.limit_logged_at < SIGNALS_LOG_INTERVAL) return;
+	record.limited_as_logged = limit.IsActive();
+	record.limit_logged_at = now;
+	const RateShare &share = limit.Share();
+	Log(LogLevel::Info, "target-limit",
+	    {{"target", record.incarnation.Name()},
+	     {"source", source},
+	     {"per_s", limit.IsActive() ? FormatNumber(limit.Bound().per_second) : ""},
+	     {"asked_ms_ago", FormatMilliseconds(now - asked)},
+	     {"share", std::to_string(share.max_requests)},
+	     {"window_ms", FormatMilliseconds(share.window)}});
+}
+
+void Gateway::LogSignals(const RelayRequest &request, TargetNumber number, const TargetSignals &signals, TimePoint now)
+{
+	TargetRecord &record = this->records[number.value];
+	if (signals == record.signals || now - record.signals_logged_at < SIGNALS_LOG_INTERVAL) return;
+	record.signals = signals;
+	record.signals_logged_at = now;
+	Log(LogLevel::Info, "target-said",
+	    {{"target", record.incarnation.Name()},
+	     {"request", request.info.attempt},
+	     {"limit_per_s", signals.limit == SignalState::Present ? FormatNumber(signals.limit_per_s) : ""},
+	     {"leaving", signals.draining ? "yes" : "no"},
+	     {"pause_ms", FormatMilliseconds(signals.pause)},
+	     {"unreadable", signals.unreadable ? "yes" : "no"}});
+}
+
+void Gateway::OnLoadHeader(TargetNumber number, const TargetLoad &load)
+{
+	TargetRecord &record = this->records[number.value];
+	if (record.engine || load.slots == 0) return;
+	LoadReport report;
+	report.sequence = ++record.reports;
+	report.capacity_tokens = load.slots;
+	report.used_tokens = load.running;
+	report.running = load.running;
+	report.waiting = load.waiting;
+	this->Execute(this->dispatcher.OnReport(number, report, MonotonicNow()));
+}
+
+} // namespace cottonspool
--- a/src/metrics/log.cpp
+++ b/src/metrics/log.cpp
@@ -21,12 +21,12 @@
 
 namespace trivial = boost::log::trivial;
 
-static constexpr size_t MOST_WAITING_BYTES = 256U << 10; ///< Size of the buffer, enough for a few seconds of a busy instance.
+static constexpr size_t MAX_BUFFERED_BYTES = 256U << 10; ///< Size of the buffer, enough for a few seconds of a busy instance.
 static constexpr size_t FLUSH_BYTES = 32U << 10;         ///< Number of buffered bytes at which the buffer is flushed at once.
 
 static bool json_form = false;                              ///< Whether lines are JSON objects.
 static std::string instance_name;                           ///< Name of this instance on each line.
-static LineBuffer lines(STDOUT_FILENO, MOST_WAITING_BYTES); ///< Buffer of standard output.
+static LineBuffer lines(STDOUT_FILENO, MAX_BUFFERED_BYTES); ///< Buffer of standard output.
 
 /** Boost.Log backend that writes to the buffer. Not locked, as only the event loop's thread logs. */
 class BufferBackend : public boost::log::sinks::basic_formatted_sink_backend<char, boost::log::sinks::concurrent_feeding> {
--- a/src/operator/explain_log.h
+++ b/src/operator/explain_log.h
@@ -27,9 +27,9 @@
 std::optional<LogLine> ParseLogLine(const std::string &text);
 
 /** Trace of one request, collected from the logs of several instances. */
-class RequestStory {
+class RequestTrace {
 public:
-	explicit RequestStory(std::string request) : request(std::move(request)) {}
+	explicit RequestTrace(std::string request) : request(std::move(request)) {}
 
 	/** Add the lines of \a log. */
 	void Add(std::istream &log);
@@ -49,13 +49,13 @@
 	/** @return The lines of the request and those on its targets, the store and the configuration, by instance and time. */
 	std::vector<LogLine> Related() const;
 	/** @return The drain notice of \a target that the request's instance received before \a before_ms; null if there is none. */
-	const LogLine *NoticeOf(const std::string &target, double before_ms) const;
+	const LogLine *FindDrainNotice(const std::string &target, double before_ms) const;
 	/** @return The cause of an outcome that follows from the loss of a target. */
-	std::string CauseOfLoss(const LogLine &finished) const;
+	std::string ExplainLoss(const LogLine &finished) const;
 
-	std::string request;          ///< Id of the request.
-	std::vector<LogLine> lines;   ///< Lines of the request.
-	std::vector<LogLine> beliefs; ///< Lines on targets, the store and the configuration, from all instances.
+	std::string request;                ///< Id of the request.
+	std::vector<LogLine> lines;         ///< Lines of the request.
+	std::vector<LogLine> context_lines; ///< Lines on targets, the store and the configuration, from all instances.
 };
 
 } // namespace cottonspool
