--- a/src/decision/byte_budget.h
+++ b/src/decision/byte_budget.h
@@ -14,24 +14,24 @@
 public:
 	/**
 	 * @param per_second Refill rate, in bytes per second.
-	 * @param saved Time span whose refill the bucket can hold.
+	 * @param burst_span Time span whose refill the bucket can hold.
 	 */
-	ByteBudget(double per_second, Duration saved) : per_second(per_second), most(per_second * Seconds(saved)) {}
+	ByteBudget(double per_second, Duration burst_span) : per_second(per_second), capacity(per_second * Seconds(burst_span)) {}
 
 	/** @return Whether \a bytes may be sent now; if so they are deducted. */
 	[[nodiscard]] bool Take(double bytes, TimePoint now)
 	{
-		this->left = std::min(this->most, this->left + this->per_second * Seconds(now - this->refilled_at));
+		this->available = std::min(this->capacity, this->available + this->per_second * Seconds(now - this->refilled_at));
 		this->refilled_at = now;
-		if (bytes > this->left) return false;
-		this->left -= bytes;
+		if (bytes > this->available) return false;
+		this->available -= bytes;
 		return true;
 	}
 
 private:
 	double per_second;     ///< Refill rate, in bytes per second.
-	double most;           ///< Capacity of the bucket, in bytes.
-	double left = 0;       ///< Bytes that may be sent now.
+	double capacity;       ///< Capacity of the bucket, in bytes.
+	double available = 0;  ///< Bytes that may be sent now.
 	TimePoint refilled_at; ///< Time of the last refill.
 };
 
--- a/src/decision/call_queue.h
+++ b/src/decision/call_queue.h
@@ -51,7 +51,7 @@
 	double TokensAhead(const CallSpec &call) const;
 
 	/** Charge the flow of \a call another \a tokens (may be negative), once the actual cost of the call is known. */
-	void Correct(const CallSpec &call, double tokens);
+	void AdjustCharge(const CallSpec &call, double tokens);
 
 	/** @return Number of waiting calls. */
 	size_t Size() const { return this->index.size(); }
@@ -72,7 +72,7 @@
 	/** The calls of one account for one model in one class. */
 	struct Flow {
 		std::deque<Waiting> calls; ///< Waiting calls, by priority and then by arrival.
-		double tag = 0;            ///< Virtual start time.
+		double virtual_start = 0;  ///< Virtual start time.
 		double tokens = 0;         ///< Expected cost of all waiting calls.
 	};
 
@@ -84,20 +84,25 @@
 
 	/** All flows of one class. */
 	struct ClassFlows {
-		std::unordered_map<FlowKey, Flow> lines; ///< All flows, including idle ones.
-		std::map<uint32_t, ModelFlows> models;   ///< Flows with waiting calls, by model.
-		double clock = 0;                        ///< Virtual time: virtual start time of the last served flow.
-		size_t calls = 0;                        ///< Number of waiting calls.
+		std::unordered_map<FlowKey, Flow> by_key; ///< All flows, including idle ones.
+		std::map<uint32_t, ModelFlows> models;    ///< Flows with waiting calls, by model.
+		double virtual_time = 0;                  ///< Virtual time: virtual start time of the last served flow.
+		size_t calls = 0;                         ///< Number of waiting calls.
 	};
 
+	/** @return The key of the flow of \a call; all accounts share one flow if the queue is not fair. */
 	static FlowKey KeyOf(const QueueLimits &limits, const CallSpec &call)
 	{
 		return static_cast<FlowKey>(call.model.value) << 32 | (limits.fair ? call.account.value : 0);
 	}
+	/** @return The model of the flow \a key. */
 	static uint32_t ModelOf(FlowKey key) { return static_cast<uint32_t>(key >> 32); }
+	/** Add \a call to its flow, at the head or else behind the calls of at least its priority. */
 	void Insert(const CallSpec &call, double tokens, bool front);
-	void Unlink(ClassFlows &lines, FlowKey key);
-	void PopHead(ClassFlows &lines, FlowKey key, bool charge);
+	/** Remove the flow \a key from the order of its model. */
+	void Unlink(ClassFlows &flows, FlowKey key);
+	/** Remove the head of the flow \a key. @param charge Whether its cost advances the virtual start time of the flow. */
+	void PopHead(ClassFlows &flows, FlowKey key, bool charge);
 	static constexpr size_t MAX_IDLE_FLOWS = 4096; ///< Idle flows that are kept so that their virtual start times are not lost.
 
 	QueueLimits limits;
@@ -109,17 +114,17 @@
 template <typename Visit> size_t CallQueue::ForEachHead(size_t limit, Visit visit)
 {
 	size_t taken = 0;
-	for (ClassFlows &lines : this->classes) {
+	for (ClassFlows &flows : this->classes) {
 		// The limit applies to each model separately, so that an overloaded model does not keep the calls of others from being tried.
 		std::vector<std::pair<double, FlowKey>> heads;
-		for (const auto &[model, own] : lines.models) {
+		for (const auto &[model, own] : flows.models) {
 			size_t tried = 0;
 			for (auto it = own.order.begin(); it != own.order.end() && tried < limit; ++it, tried++) heads.push_back(*it);
 		}
 		std::sort(heads.begin(), heads.end());
-		for (const auto &[tag, key] : heads) {
-			if (!visit(lines.lines[key].calls.front().call)) continue;
-			this->PopHead(lines, key, true);
+		for (const auto &[virtual_start, key] : heads) {
+			if (!visit(flows.by_key[key].calls.front().call)) continue;
+			this->PopHead(flows, key, true);
 			taken++;
 		}
 	}
--- a/src/decision/decision_executor.h
+++ b/src/decision/decision_executor.h
@@ -26,12 +26,12 @@
 	/** Execute \a decisions now, or after the ones that are being executed. */
 	void Execute(Decisions decisions)
 	{
-		this->waiting.push_back(std::move(decisions));
+		this->pending.push_back(std::move(decisions));
 		if (this->executing) return;
 		this->executing = true;
-		while (!this->waiting.empty()) {
-			Decisions next = std::move(this->waiting.front());
-			this->waiting.pop_front();
+		while (!this->pending.empty()) {
+			Decisions next = std::move(this->pending.front());
+			this->pending.pop_front();
 			for (const SendAction &action : next.sends) {
 				if (std::shared_ptr<Call> call = this->Find(action.call)) call->OnSend(action);
 			}
@@ -51,7 +51,7 @@
 	}
 
 	const Calls &calls;            ///< Unfinished calls.
-	std::deque<Decisions> waiting; ///< Decisions that are not executed yet.
+	std::deque<Decisions> pending; ///< Decisions that are not executed yet.
 	bool executing = false;        ///< Whether decisions are being executed.
 };
 
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -9,10 +9,10 @@
 
 namespace cottonspool {
 
-static constexpr Duration RATE_WINDOW = std::chrono::seconds(1); ///< Window over which the dispatch rate is measured.
-static constexpr double RATE_SMOOTHING = 0.3;                    ///< Weight of the newest window in the dispatch rate.
-static constexpr Duration SLOW_CHECK = std::chrono::seconds(1);  ///< Interval of the check for slow targets.
-static constexpr size_t MAX_ACCOUNT_BUDGETS = 4096;              ///< Number of account budgets above which all are dropped.
+static constexpr Duration RATE_WINDOW = std::chrono::seconds(1);         ///< Window over which the dispatch rate is measured.
+static constexpr double RATE_SMOOTHING = 0.3;                            ///< Weight of the newest window in the dispatch rate.
+static constexpr Duration SLOW_CHECK_INTERVAL = std::chrono::seconds(1); ///< Interval of the check for slow targets.
+static constexpr size_t MAX_ACCOUNT_BUDGETS = 4096;                      ///< Number of account budgets above which all are dropped.
 
 /** Pressure advantage that an engine in another hall needs to be the target of a migration, as copies between halls are slower. */
 static constexpr double MIGRATION_OTHER_HALL_PENALTY = 0.5;
@@ -44,20 +44,20 @@
 	return false;
 }
 
-Duration Dispatcher::Drain(const CallSpec &call) const
+Duration Dispatcher::QueueDelay(const CallSpec &call) const
 {
-	return this->rate <= 0 ? Duration(0) : FromSeconds(this->queue.TokensAhead(call) / this->rate);
+	return this->dispatch_rate <= 0 ? Duration(0) : FromSeconds(this->queue.TokensAhead(call) / this->dispatch_rate);
 }
 
 Duration Dispatcher::RetryAfter(const CallSpec &call, TimePoint now) const
 {
-	auto refused = this->overloads.find(call.model.value);
-	Duration drain = this->Drain(call);
+	auto overload = this->overloads.find(call.model.value);
+	Duration queue_delay = this->QueueDelay(call);
 	uint64_t random = HashText("retry-after", call.id.value);
 	// A retry only makes sense once the quarantine is over.
 	if (this->IsQuarantined(call, now))
 		return std::min<Duration>(this->quarantine.RemainingTime(call.fingerprint, now), this->limits.retry_after_max);
-	Duration wait = refused == this->overloads.end() ? drain : refused->second.RetryAfter(drain, random, now);
+	Duration wait = overload == this->overloads.end() ? queue_delay : overload->second.RetryAfter(queue_delay, random, now);
 	return std::clamp(wait, this->limits.retry_after_min, this->limits.retry_after_max);
 }
 
@@ -78,9 +78,9 @@
 /** @return Retry-After for a call that no target may get for \a wait, with jitter from \a random so that callers don't return together. */
 static Duration RetryAfterRestriction(Duration wait, uint64_t random)
 {
-	static constexpr Duration LEAST_SPREAD = std::chrono::milliseconds(300);
+	static constexpr Duration MIN_SPREAD = std::chrono::milliseconds(300);
 	static constexpr uint64_t STEPS = 1000;
-	Duration spread = LEAST_SPREAD + wait / 4;
+	Duration spread = MIN_SPREAD + wait / 4;
 	return wait + spread * static_cast<int64_t>(random % STEPS) / static_cast<int64_t>(STEPS);
 }
 
@@ -113,8 +113,8 @@
 		this->Reject(call, RejectReason::NoTarget, now, decisions);
 		return decisions;
 	}
-	Duration drain = this->Drain(call);
-	if (this->limits.refuse_early && drain > Duration(0) && now + drain > call.deadline) {
+	Duration queue_delay = this->QueueDelay(call);
+	if (this->limits.refuse_early && queue_delay > Duration(0) && now + queue_delay > call.deadline) {
 		this->Reject(call, RejectReason::WaitTooLong, now, decisions);
 		return decisions;
 	}
@@ -122,7 +122,7 @@
 		this->Reject(call, RejectReason::QueueFull, now, decisions);
 		return decisions;
 	}
-	this->Drain(now, decisions);
+	this->DispatchWaiting(now, decisions);
 	auto waiting = this->calls.find(call.id);
 	if (waiting != this->calls.end() && !waiting->second.holder) this->RejectIfRestricted(call, now, decisions);
 	return decisions;
@@ -144,7 +144,7 @@
 {
 	Decisions decisions;
 	this->RejectWaiting(RejectReason::NoTarget, now, decisions, [this](const CallSpec &call) { return !this->HasEligibleTarget(call); });
-	this->Drain(now, decisions);
+	this->DispatchWaiting(now, decisions);
 	std::vector<CallSpec> waiting;
 	for (const auto &[id, tracked] : this->calls) {
 		if (!tracked.holder) waiting.push_back(tracked.call);
@@ -182,7 +182,7 @@
 	std::optional<TargetNumber> target = this->router->Choose(tracked.call, this->targets, now);
 	if (!target) return false;
 	tracked.holder = target;
-	tracked.charged = this->ExpectedTokens(call);
+	tracked.charged_tokens = this->ExpectedTokens(call);
 	if (tracked.attempts++ > 0) {
 		this->counters.retries++;
 	} else if (RetryBudget *pool = this->PoolBudget(call.model)) {
@@ -195,12 +195,12 @@
 	this->target_budgets.try_emplace(target->value, this->limits.retry).first->second.OnFirstAttempt();
 	if (this->account_budgets.size() > MAX_ACCOUNT_BUDGETS) this->account_budgets.clear();
 	this->account_budgets.try_emplace(call.account.value, this->limits.retry).first->second.OnFirstAttempt();
-	this->rate_tokens += tracked.charged;
+	this->window_tokens += tracked.charged_tokens;
 	decisions.sends.push_back({call.id, *target, CLASS_PRIORITY[static_cast<size_t>(call.service_class)] + call.priority});
 	return true;
 }
 
-void Dispatcher::Drain(TimePoint now, Decisions &decisions)
+void Dispatcher::DispatchWaiting(TimePoint now, Decisions &decisions)
 {
 	auto visit = [&](const CallSpec &call) { return this->TrySend(call, now, decisions); };
 	while (this->queue.ForEachHead(this->limits.max_heads_tried, visit) > 0) {}
@@ -229,8 +229,8 @@
 {
 	static constexpr double WIN_MARGIN = 0.1; // Lowers the chance, as by accident more instances than intended can win.
 	static constexpr uint64_t LOT_COUNT = 1U << 20;
-	double lot = static_cast<double>(HashText(own) % LOT_COUNT) / static_cast<double>(LOT_COUNT);
-	return lot < share * (1 - WIN_MARGIN) ? 1 : 0;
+	double draw = static_cast<double>(HashText(own) % LOT_COUNT) / static_cast<double>(LOT_COUNT);
+	return draw < share * (1 - WIN_MARGIN) ? 1 : 0;
 }
 
 void Dispatcher::SetRetryShare(double slack, size_t instances, std::string_view own)
@@ -321,18 +321,18 @@
 	this->in_flight--;
 	if (end == SendOutcome::Complete && tracked.call.generated) this->lengths.Learn(tracked.call, generated);
 	double cost = tracked.call.generated ? tracked.call.prompt_tokens + generated : 1;
-	this->queue.Correct(tracked.call, cost - tracked.charged);
+	this->queue.AdjustCharge(tracked.call, cost - tracked.charged_tokens);
 	bool failed = end == SendOutcome::Lost || end == SendOutcome::Failed;
 	bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected;
-	bool again = not_executed || (failed && tracked.call.repeatable && this->limits.retry_failed);
+	bool may_retry = not_executed || (failed && tracked.call.repeatable && this->limits.retry_failed);
 	if (end == SendOutcome::NotSent) {
 		this->RetryUnreachable(tracked, now, decisions);
-	} else if (again) {
+	} else if (may_retry) {
 		this->RetryCall(tracked, end, now, decisions);
 	} else {
 		this->calls.erase(found);
 	}
-	this->Drain(now, decisions);
+	this->DispatchWaiting(now, decisions);
 	auto waiting = this->calls.find(id);
 	if (waiting != this->calls.end() && !waiting->second.holder) this->RejectIfRestricted(CallSpec(waiting->second.call), now, decisions);
 	return decisions;
@@ -342,31 +342,32 @@
 {
 	Decisions decisions;
 	this->targets.OnReport(target, report, now);
-	this->Drain(now, decisions);
+	this->DispatchWaiting(now, decisions);
 	return decisions;
 }
 
 void Dispatcher::UpdateDispatchRate(double tokens, TimePoint now)
 {
-	if (now - this->rate_since < RATE_WINDOW) return;
-	double measured = tokens / Seconds(now - this->rate_since);
+	if (now - this->window_start < RATE_WINDOW) return;
+	double measured = tokens / Seconds(now - this->window_start);
 	bool saturated = this->queue.Size() > 0;
-	if (saturated) this->rate = this->rate == 0 ? measured : this->rate + RATE_SMOOTHING * (measured - this->rate);
-	if (!saturated) this->rate = std::max(this->rate, measured);
-	this->rate_tokens = 0;
-	this->rate_since = now;
+	if (saturated)
+		this->dispatch_rate = this->dispatch_rate == 0 ? measured : this->dispatch_rate + RATE_SMOOTHING * (measured - this->dispatch_rate);
+	if (!saturated) this->dispatch_rate = std::max(this->dispatch_rate, measured);
+	this->window_tokens = 0;
+	this->window_start = now;
 }
 
 Decisions Dispatcher::OnTick(TimePoint now)
 {
 	Decisions decisions;
 	for (const CallSpec &call : this->queue.TakeExpired(now)) this->Reject(call, RejectReason::DeadlinePassed, now, decisions);
-	if (now - this->slow_checked >= SLOW_CHECK) {
+	if (now - this->last_slow_check >= SLOW_CHECK_INTERVAL) {
 		this->targets.UpdateSlowTargets();
-		this->slow_checked = now;
+		this->last_slow_check = now;
 	}
-	this->Drain(now, decisions);
-	this->UpdateDispatchRate(this->rate_tokens, now);
+	this->DispatchWaiting(now, decisions);
+	this->UpdateDispatchRate(this->window_tokens, now);
 	return decisions;
 }
 
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -142,12 +142,15 @@
 		std::optional<TargetNumber> holder; ///< Target to which it was sent.
 		uint32_t attempts = 0;              ///< Attempts so far.
 		uint32_t unreachable_sends = 0;     ///< Consecutive targets that could not be reached.
-		double charged = 0;                 ///< Tokens charged to its flow in the queue.
+		double charged_tokens = 0;          ///< Tokens charged to its flow in the queue.
 		TimePoint not_before;               ///< Earliest time of the next attempt.
 	};
 
+	/** Send the waiting \a call if a target may get it now. @return Whether it was sent. */
 	bool TrySend(const CallSpec &call, TimePoint now, Decisions &decisions);
-	void Drain(TimePoint now, Decisions &decisions);
+	/** Send waiting calls in the order of the queue for as long as any can be sent. */
+	void DispatchWaiting(TimePoint now, Decisions &decisions);
+	/** Reject \a call, which is no longer in the queue. */
 	void Reject(const CallSpec &call, RejectReason reason, TimePoint now, Decisions &decisions);
 	/**
 	 * Reject the waiting \a call if restrictions keep it from all targets until after its deadline.
@@ -157,15 +160,24 @@
 	/** @return Retry-After for the caller of \a call, which is rejected at \a now. */
 	Duration RetryAfter(const CallSpec &call, TimePoint now) const;
 	/** @return Expected time until the calls ahead of \a call are dispatched; zero while the dispatch rate is unknown. */
-	Duration Drain(const CallSpec &call) const;
+	Duration QueueDelay(const CallSpec &call) const;
+	/** Queue the call \a tracked for a retry after an attempt with the outcome \a end, or reject it. */
 	void RetryCall(TrackedCall &tracked, SendOutcome end, TimePoint now, Decisions &decisions);
+	/** Queue the call \a tracked for another target after its target could not be reached, or reject it. */
 	void RetryUnreachable(TrackedCall &tracked, TimePoint now, Decisions &decisions);
+	/** Restart the wait limit of the call \a tracked for its next attempt. @return The time after which it must not be retried. */
 	TimePoint ExtendDeadline(TrackedCall &tracked, TimePoint now) const;
+	/** Deduct a retry of the call \a tracked from the retry budgets. @return Whether they allow it. */
 	bool SpendRetry(const TrackedCall &tracked);
+	/** @return The retry budget of \a model, or null if models have none. */
 	RetryBudget *PoolBudget(ModelNumber model);
+	/** Update the dispatch rate at the end of a window in which \a tokens were dispatched. */
 	void UpdateDispatchRate(double tokens, TimePoint now);
+	/** @return Expected cost of \a call in the queue, in tokens. */
 	double ExpectedTokens(const CallSpec &call) const;
+	/** @return Whether any target could serve \a call, now or later. */
 	bool HasEligibleTarget(const CallSpec &call) const;
+	/** @return Whether \a call is quarantined. */
 	bool IsQuarantined(const CallSpec &call, TimePoint now) const
 	{
 		return this->quarantine.Judge(call.fingerprint, now) == Suspicion::Quarantined;
@@ -185,11 +197,11 @@
 	std::unordered_map<uint32_t, OverloadTracker> overloads;     ///< Duration of the present overload, by model or service.
 	Quarantine quarantine;                                       ///< Requests that are suspected of crashing targets.
 	DispatchCounters counters;
-	size_t in_flight = 0;   ///< Number of calls in flight.
-	double rate = 0;        ///< Tokens dispatched per second while calls waited; 0 while unknown.
-	double rate_tokens = 0; ///< Tokens dispatched in the current window.
-	TimePoint rate_since;   ///< Start of the current window.
-	TimePoint slow_checked; ///< Time of the last check for slow targets.
+	size_t in_flight = 0;      ///< Number of calls in flight.
+	double dispatch_rate = 0;  ///< Tokens dispatched per second while calls waited; 0 while unknown.
+	double window_tokens = 0;  ///< Tokens dispatched in the current window.
+	TimePoint window_start;    ///< Start of the current window.
+	TimePoint last_slow_check; ///< Time of the last check for slow targets.
 };
 
 } // namespace cottonspool
--- a/src/decision/router.cpp
+++ b/src/decision/router.cpp
@@ -58,8 +58,8 @@
 /** @return Number of calls at \a target: those in its last report and own ones sent since. */
 static double ReportedLoad(const TargetState &target)
 {
-	double fresh = static_cast<double>(target.in_flight.size()) - target.known_calls_at_report;
-	return target.report.running + target.report.waiting + std::max(0.0, fresh);
+	double sent_since = static_cast<double>(target.in_flight.size()) - target.known_calls_at_report;
+	return target.report.running + target.report.waiting + std::max(0.0, sent_since);
 }
 
 namespace {
@@ -72,15 +72,16 @@
 	std::optional<TargetNumber> Choose(const CallSpec &call, const TargetTable &targets, TimePoint now) override
 	{
 		if (std::optional<CallSpec> relaxed = RelaxAvoidance(call, targets, now)) return this->Choose(*relaxed, targets, now);
-		std::optional<TargetNumber> best = this->Best(call, targets, now, this->rules.use_headroom);
+		std::optional<TargetNumber> best = this->FindBest(call, targets, now, this->rules.use_headroom);
 		// Interactive calls may overcommit, as the engine runs them first and preempts the calls of other classes.
 		bool interactive = call.service_class == ServiceClass::Interactive && call.generated;
 		bool may_overcommit = (interactive || now >= call.overcommit_from) && (!call.generated || this->rules.use_overcommit);
-		return best || !may_overcommit ? best : this->Best(call, targets, now, false);
+		return best || !may_overcommit ? best : this->FindBest(call, targets, now, false);
 	}
 
 private:
-	std::optional<TargetNumber> Best(const CallSpec &call, const TargetTable &targets, TimePoint now, bool require_headroom) const
+	/** @return The target with the best score; nothing if none is admissible. */
+	std::optional<TargetNumber> FindBest(const CallSpec &call, const TargetTable &targets, TimePoint now, bool require_headroom) const
 	{
 		std::optional<TargetNumber> best;
 		double best_score = std::numeric_limits<double>::max();
@@ -97,14 +98,16 @@
 		return best;
 	}
 
+	/** @return Whether \a target has headroom for \a call, or is idle. */
 	bool HasHeadroom(const CallSpec &call, const TargetState &target, const TargetTable &targets, TimePoint now) const
 	{
-		double need = targets.Need(target, call);
-		if (targets.Allowance(target, call, now) >= need) return true;
+		double need = targets.MemoryNeed(target, call);
+		if (targets.Headroom(target, call, now) >= need) return true;
 		bool idle = target.in_flight.empty() && target.report.running + target.report.waiting == 0;
 		return idle && target.sent_since_report == 0;
 	}
 
+	/** @return Score of \a target for \a call without the hall penalty; the smallest is best. */
 	double Score(const CallSpec &call, const TargetState &target, const TargetTable &targets, TimePoint now) const
 	{
 		double score = targets.Pressure(target, now) + CALLS_WEIGHT * ReportedLoad(target);
@@ -126,11 +129,11 @@
 	{
 		std::vector<TargetNumber> usable = EligibleTargets(call, targets, now);
 		if (usable.empty()) return std::nullopt;
-		return usable[this->next++ % usable.size()];
+		return usable[this->next_index++ % usable.size()];
 	}
 
 private:
-	uint64_t next = 0; ///< Calls routed so far.
+	uint64_t next_index = 0; ///< Calls routed so far.
 };
 
 /** Baseline: the target with the fewest calls. */
@@ -161,10 +164,10 @@
 	}
 
 private:
-	uint64_t Random() { return HashText("two-choices", this->seed + 0x9e3779b97f4a7c15ULL * ++this->drawn); }
+	uint64_t Random() { return HashText("two-choices", this->seed + 0x9e3779b97f4a7c15ULL * ++this->draw_count); }
 
-	uint64_t seed;      ///< Seed of the draws.
-	uint64_t drawn = 0; ///< Draws so far.
+	uint64_t seed;           ///< Seed of the draws.
+	uint64_t draw_count = 0; ///< Draws so far.
 };
 
 /** Baseline: the smallest weighted sum of a target's rank by expected delay and its rank by number of calls. */
@@ -179,7 +182,7 @@
 		TargetNumber best = usable.front();
 		double best_score = std::numeric_limits<double>::max();
 		for (TargetNumber number : usable) {
-			double score = BETA * Rank(usable, number, delay) + (1 - BETA) * Rank(usable, number, cost);
+			double score = BETA * RankOf(usable, number, delay) + (1 - BETA) * RankOf(usable, number, cost);
 			if (score >= best_score) continue;
 			best = number;
 			best_score = score;
@@ -190,7 +193,8 @@
 private:
 	static constexpr double BETA = 0.5; ///< Weight of the rank by delay.
 
-	template <typename Key> static double Rank(const std::vector<TargetNumber> &all, TargetNumber of, Key key)
+	/** @return Number of targets in \a all with a smaller key than \a of. */
+	template <typename Key> static double RankOf(const std::vector<TargetNumber> &all, TargetNumber of, Key key)
 	{
 		return static_cast<double>(std::count_if(all.begin(), all.end(), [&](TargetNumber other) { return key(other) < key(of); }));
 	}
--- a/src/decision/target_health.cpp
+++ b/src/decision/target_health.cpp
@@ -8,8 +8,7 @@
 namespace cottonspool {
 
 static constexpr size_t SLOW_MIN_TARGETS = 3; ///< Minimum number of targets with measurements for a median.
-static constexpr double INTERVAL_DECAY =
-        0.1; ///< Fraction of its distance to the median by which the token interval of an idle target changes per second.
+static constexpr double INTERVAL_DECAY = 0.1; ///< Fraction by which an idle target's interval approaches the median per second.
 
 uint32_t TargetTable::OnEnded(TargetNumber number, CallId call, SendResult result, TimePoint now)
 {
@@ -42,28 +41,28 @@
 {
 	// A target that answers, even with failures, is better than an unreachable one. So ejected targets that can be reached are
 	// reinstated first; otherwise all calls could go to the unreachable one.
-	bool others = false;
+	bool has_alternative = false;
 	for (ModelNumber model : target.models) {
 		for (TargetNumber number : this->ForModel(model)) {
 			TargetState &other = this->targets[number.value];
 			if (&other == &target || other.restrictions.draining || other.connect_failures >= this->limits.eject_connect_failures) continue;
-			others = true;
+			has_alternative = true;
 			other.failures = other.ejections = 0;
 			other.restrictions.ejected_until = TimePoint{};
 		}
 	}
-	if (others) this->Eject(target, now);
+	if (has_alternative) this->Eject(target, now);
 }
 
 bool TargetTable::MayEject(const TargetState &target, TimePoint now) const
 {
 	for (ModelNumber model : target.models) {
-		const std::vector<TargetNumber> &alike = this->ForModel(model);
-		auto out = std::count_if(alike.begin(), alike.end(), [&](TargetNumber other) {
+		const std::vector<TargetNumber> &same_model = this->ForModel(model);
+		auto unavailable = std::count_if(same_model.begin(), same_model.end(), [&](TargetNumber other) {
 			const TargetState &state = this->Get(other);
 			return &state == &target || now < state.restrictions.ejected_until || state.restrictions.draining;
 		});
-		if (static_cast<size_t>(out) * 2 > alike.size()) return false;
+		if (static_cast<size_t>(unavailable) * 2 > same_model.size()) return false;
 	}
 	return true;
 }
@@ -83,14 +82,14 @@
 			if (this->Get(number).interval > 0) intervals.push_back(this->Get(number).interval);
 		}
 		if (intervals.size() < SLOW_MIN_TARGETS) continue;
-		auto middle = intervals.begin() + static_cast<long>(intervals.size() / 2);
-		std::nth_element(intervals.begin(), middle, intervals.end());
+		auto median = intervals.begin() + static_cast<long>(intervals.size() / 2);
+		std::nth_element(intervals.begin(), median, intervals.end());
 		for (TargetNumber number : numbers) {
 			TargetState &target = this->targets[number.value];
-			target.median_interval = *middle;
+			target.median_interval = *median;
 			// The interval of an idle target decays towards the median, so that a slow target is tried again.
-			if (target.in_flight.empty() && target.interval > 0) target.interval += INTERVAL_DECAY * (*middle - target.interval);
-			target.slow = target.interval > this->limits.slow_factor * *middle;
+			if (target.in_flight.empty() && target.interval > 0) target.interval += INTERVAL_DECAY * (*median - target.interval);
+			target.slow = target.interval > this->limits.slow_factor * *median;
 		}
 	}
 }
--- a/src/decision/target_incarnation.h
+++ b/src/decision/target_incarnation.h
@@ -26,8 +26,11 @@
 	 */
 	std::string Name() const;
 
-	/** @return Whether the start time \a told belongs to another incarnation than this one; false if either is unknown. */
-	bool IsOtherIncarnation(uint64_t told) const { return this->started_ms != 0 && told != 0 && told != this->started_ms; }
+	/** @return Whether the start time \a other_start_ms belongs to another incarnation than this one; false if either is unknown. */
+	bool IsOtherIncarnation(uint64_t other_start_ms) const
+	{
+		return this->started_ms != 0 && other_start_ms != 0 && other_start_ms != this->started_ms;
+	}
 };
 
 } // namespace cottonspool
--- a/src/decision/target_load.cpp
+++ b/src/decision/target_load.cpp
@@ -20,14 +20,14 @@
 	uint32_t calls = target.report.running + target.report.waiting;
 	reported.calls = calls > target.known_calls_at_report ? calls - target.known_calls_at_report : 0;
 	if (target.engine) reported.tokens += static_cast<double>(target.report.waiting_tokens);
-	HeldLoad hall_loads;
+	HeldLoad from_halls;
 	for (const auto &[hall, load] : target.hall_loads) {
-		if (now - load.heard > HALL_LOAD_TTL) continue;
-		hall_loads.tokens += load.held.tokens;
-		hall_loads.calls += load.held.calls;
+		if (now - load.received_at > HALL_LOAD_TTL) continue;
+		from_halls.tokens += load.held.tokens;
+		from_halls.calls += load.held.calls;
 	}
 	// Reports can be older than the halls' figures, and those can lack migrated calls, so the larger value is used.
-	return {std::max(reported.tokens, hall_loads.tokens), std::max(reported.calls, hall_loads.calls)};
+	return {std::max(reported.tokens, from_halls.tokens), std::max(reported.calls, from_halls.calls)};
 }
 
 HeldLoad TargetTable::TotalLoadAt(const TargetState &target, TimePoint now) const
--- a/src/decision/target_prefill.cpp
+++ b/src/decision/target_prefill.cpp
@@ -26,9 +26,9 @@
 	if (!target.engine || target.pending_prefills == 0) return;
 	target.pending_prefills--;
 	if (!flight.prefills_alone || flight.generated == 0) return;
-	double took = Seconds(now - flight.sent);
-	if (took <= 0 || flight.call.prompt_tokens < PREFILL_SAMPLE_MIN_TOKENS) return;
-	double rate = std::clamp(flight.call.prompt_tokens / took, PREFILL_RATE_MIN, PREFILL_RATE_MAX);
+	double elapsed = Seconds(now - flight.sent);
+	if (elapsed <= 0 || flight.call.prompt_tokens < PREFILL_SAMPLE_MIN_TOKENS) return;
+	double rate = std::clamp(flight.call.prompt_tokens / elapsed, PREFILL_RATE_MIN, PREFILL_RATE_MAX);
 	this->prefill_rate += PREFILL_RATE_SMOOTHING * (rate - this->prefill_rate);
 }
 
@@ -40,8 +40,8 @@
 
 Duration TargetTable::FirstTokenWait(const TargetState &target, const CallSpec &call, TimePoint now) const
 {
-	Duration told = std::chrono::duration_cast<Duration>(target.remote_prefill_done_at - now);
-	return std::max(told, PrefillWait(target, now)) + FromSeconds(call.prompt_tokens / this->prefill_rate);
+	Duration remote_wait = std::chrono::duration_cast<Duration>(target.remote_prefill_done_at - now);
+	return std::max(remote_wait, PrefillWait(target, now)) + FromSeconds(call.prompt_tokens / this->prefill_rate);
 }
 
 } // namespace cottonspool
--- a/src/decision/target_rate_limit.cpp
+++ b/src/decision/target_rate_limit.cpp
@@ -6,19 +6,19 @@
 
 namespace cottonspool {
 
-bool TargetRateLimit::OnAnswer(const TargetSignals &signals, TimePoint asked, TimePoint now)
+bool TargetRateLimit::OnAnswer(const TargetSignals &signals, TimePoint requested_at, TimePoint now)
 {
 	if (signals.limit == SignalState::Unreadable) return false;
-	bool names = signals.limit == SignalState::Present;
-	bool loosens = this->named && (!names || signals.limit_per_s > this->per_second);
-	if (loosens && asked <= this->heard) return false;
-	bool changed = names != this->named || (names && signals.limit_per_s != this->per_second);
+	bool advertises = signals.limit == SignalState::Present;
+	bool raises = this->active && (!advertises || signals.limit_per_s > this->per_second);
+	if (raises && requested_at <= this->reported_at) return false;
+	bool changed = advertises != this->active || (advertises && signals.limit_per_s != this->per_second);
 	// Borrowed shares were computed from the higher limit.
-	if (names && this->named && signals.limit_per_s < this->per_second) this->leases.DropBorrowed();
-	this->named = names;
-	if (!names) return changed;
+	if (advertises && this->active && signals.limit_per_s < this->per_second) this->leases.DropBorrowed();
+	this->active = advertises;
+	if (!advertises) return changed;
 	this->per_second = signals.limit_per_s;
-	this->heard = now;
+	this->reported_at = now;
 	return changed;
 }
 
--- a/src/decision/target_rate_limit.h
+++ b/src/decision/target_rate_limit.h
@@ -17,17 +17,17 @@
 class TargetRateLimit {
 public:
 	/**
-	 * Handle an answer to a request that was sent at \a asked. Answers on several connections can arrive out of order, so the limit is
-	 * raised or removed only if the request was sent after the latest advertisement, but lowered at once.
+	 * Handle an answer to a request that was sent at \a requested_at. Answers on several connections can arrive out of order, so the limit
+	 * is raised or removed only if the request was sent after the latest advertisement, but lowered at once.
 	 * @return Whether the limit has changed.
 	 */
-	bool OnAnswer(const TargetSignals &signals, TimePoint asked, TimePoint now);
+	bool OnAnswer(const TargetSignals &signals, TimePoint requested_at, TimePoint now);
 
 	/** Set this instance's own share of the limit. */
-	void SetShare(RateShare to_keep)
+	void SetShare(RateShare new_share)
 	{
-		this->share = to_keep;
-		this->gate.SetWindow(to_keep.window);
+		this->share = new_share;
+		this->gate.SetWindow(new_share.window);
 	}
 
 	/** @return This instance's own share, including what it has lent. */
@@ -52,7 +52,7 @@
 	uint32_t Lend(const std::string &borrower, uint32_t wanted, uint32_t own, TimePoint now)
 	{
 		LendableShare source{this->share.max_requests, this->gate.SentInWindow(now), own, this->gate.Window()};
-		return this->named ? this->leases.Lend(borrower, wanted, source, now) : 0;
+		return this->active ? this->leases.Lend(borrower, wanted, source, now) : 0;
 	}
 
 	/** @return Whether this instance needs leases from other instances for a demand of \a demand requests per window. */
@@ -71,19 +71,19 @@
 	void OnGranted(const std::string &owner, uint64_t number, uint32_t granted) { this->leases.OnGranted(owner, number, granted); }
 
 	/** @return Whether the target advertises a limit. */
-	bool IsActive() const { return this->named; }
+	bool IsActive() const { return this->active; }
 
 	/** @return When the limit was last advertised. */
-	TimePoint LastReportedAt() const { return this->heard; }
+	TimePoint LastReportedAt() const { return this->reported_at; }
 
 	/** @return The limit; only meaningful while one is advertised. */
 	RateLimit Bound() const { return {this->per_second, RATE_LIMIT_WINDOW}; }
 
 	/** @return Whether this instance may send a request at \a now. */
-	bool MaySend(TimePoint now) const { return !this->named || this->gate.SentInWindow(now) < this->Allowance(now); }
+	bool MaySend(TimePoint now) const { return !this->active || this->gate.SentInWindow(now) < this->Allowance(now); }
 
 	/** @return Earliest time at which this instance may send a request; max() if it has no share. */
-	TimePoint FreeAt(TimePoint now) const { return this->named ? this->gate.FreeAt(this->Allowance(now), now) : now; }
+	TimePoint FreeAt(TimePoint now) const { return this->active ? this->gate.FreeAt(this->Allowance(now), now) : now; }
 
 	/** Count a request that this instance sends, also while no limit is advertised, as the window of a new limit reaches back. */
 	void OnSent(TimePoint now) { this->gate.OnSent(now); }
@@ -92,9 +92,9 @@
 	RateShare share{0, RATE_LIMIT_WINDOW}; ///< This instance's own share of the limit.
 	RateGate gate{RATE_LIMIT_WINDOW};      ///< Requests that this instance sent lately.
 	LimitLeases leases;                    ///< Shares lent and borrowed.
-	bool named = false;                    ///< Whether a limit is advertised.
+	bool active = false;                   ///< Whether a limit is advertised.
 	double per_second = 0;                 ///< The limit, in requests per second.
-	TimePoint heard;                       ///< Time of the latest advertisement.
+	TimePoint reported_at;                 ///< Time of the latest advertisement.
 };
 
 } // namespace cottonspool
--- a/src/decision/target_registry.cpp
+++ b/src/decision/target_registry.cpp
@@ -10,10 +10,10 @@
 
 void TargetRegistry::UpdateUsable(Entry &entry, const char *source, bool changed, TimePoint now, std::vector<TargetEvent> &events)
 {
-	bool usable = !entry.departed && (!entry.missing || now < entry.usable_until);
-	bool told = usable == entry.usable && !changed;
+	bool usable = !entry.retired && (!entry.missing || now < entry.usable_without_row_until);
+	bool unchanged = usable == entry.usable && !changed;
 	entry.usable = usable;
-	if (told) return;
+	if (unchanged) return;
 	events.push_back({usable ? TargetChange::EligibleTargets : TargetChange::Draining, entry.target, source});
 }
 
@@ -21,12 +21,12 @@
 {
 	if (!entry.missing) entry.missing_since = now;
 	bool was_usable = entry.usable;
-	entry.missing = entry.departed = true;
+	entry.missing = entry.retired = true;
 	entry.usable = false;
-	entry.usable_until = TimePoint{};
+	entry.usable_without_row_until = TimePoint{};
 	// A draining target still finishes its runs until it terminates, so the event is needed even if it was not usable.
-	if (was_usable || !entry.ended) events.push_back({TargetChange::Terminated, entry.target, source});
-	entry.ended = true;
+	if (was_usable || !entry.terminated) events.push_back({TargetChange::Terminated, entry.target, source});
+	entry.terminated = true;
 }
 
 void TargetRegistry::ApplyRow(const ListedTarget &target, bool full, TimePoint now, std::vector<TargetEvent> &events)
@@ -34,27 +34,27 @@
 	std::string name = target.incarnation.Name();
 	// A late row of an incarnation that has terminated.
 	auto known = this->entries.find(name);
-	if (known != this->entries.end() && known->second.ended) return;
+	if (known != this->entries.end() && known->second.terminated) return;
 	// A change is written by the target itself, but a row in the full list may come from the backup that the store was restored from.
-	bool doubted = known != this->entries.end() && known->second.missing && now < known->second.distrusted_until;
-	if (doubted && full && target.sequence <= known->second.target.sequence) {
+	bool distrusted = known != this->entries.end() && known->second.missing && now < known->second.distrusted_until;
+	if (distrusted && full && target.sequence <= known->second.target.sequence) {
 		known->second.relisted = true;
 		return;
 	}
-	std::string &newest = this->newest[target.incarnation.id];
-	auto former = newest == name ? this->entries.end() : this->entries.find(newest);
+	std::string &latest = this->latest[target.incarnation.id];
+	auto former = latest == name ? this->entries.end() : this->entries.find(latest);
 	if (former != this->entries.end()) this->Terminate(former->second, "other-life", now, events);
-	newest = name;
+	latest = name;
 	auto [found, added] = this->entries.try_emplace(name);
 	Entry &entry = found->second;
 	bool changed = added || !entry.target.HasSameContent(target);
-	bool was_departed = entry.departed;
+	bool was_retired = entry.retired;
 	entry.target = target;
 	entry.missing = entry.relisted = false;
-	entry.departed = entry.departed || target.draining;
-	if (added) entry.usable = !entry.departed;
+	entry.retired = entry.retired || target.draining;
+	if (added) entry.usable = !entry.retired;
 	// Later changes of a draining target's row don't matter.
-	if (was_departed) return;
+	if (was_retired) return;
 	this->UpdateUsable(entry, target.draining ? "notice" : "listed", changed, now, events);
 }
 
@@ -64,54 +64,55 @@
 	if (!entry.missing) {
 		entry.missing = true;
 		entry.missing_since = now;
-		entry.usable_until = this->expiry_grace_until;
+		entry.usable_without_row_until = this->expiry_grace_until;
 	}
 	this->UpdateUsable(entry, source, false, now, events);
 }
 
-void TargetRegistry::MarkAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events)
+void TargetRegistry::MarkAllMissing(const std::vector<Entry *> &removed, const char *source, TimePoint now,
+                                    std::vector<TargetEvent> &events)
 {
 	// Many rows that disappear at once without notice expired during a store outage, even if this instance did not notice the outage.
-	auto unannounced = [](const Entry *entry) { return !entry->missing && !entry->departed; };
-	size_t newly = static_cast<size_t>(std::count_if(gone.begin(), gone.end(), unannounced));
+	auto unannounced = [](const Entry *entry) { return !entry->missing && !entry->retired; };
+	size_t newly_missing = static_cast<size_t>(std::count_if(removed.begin(), removed.end(), unannounced));
 	auto usable = std::count_if(this->entries.begin(), this->entries.end(), [](const auto &entry) { return entry.second.usable; });
-	bool lapse = newly >= this->limits.mass_expiry_min_rows &&
-	             static_cast<double>(newly) >= this->limits.mass_expiry_min_fraction * static_cast<double>(usable);
-	if (lapse) this->expiry_grace_until = std::max(this->expiry_grace_until, now + this->limits.expiry_grace);
-	for (Entry *entry : gone) this->MarkMissing(*entry, source, now, events);
+	bool mass_expiry = newly_missing >= this->limits.mass_expiry_min_rows &&
+	                   static_cast<double>(newly_missing) >= this->limits.mass_expiry_min_fraction * static_cast<double>(usable);
+	if (mass_expiry) this->expiry_grace_until = std::max(this->expiry_grace_until, now + this->limits.expiry_grace);
+	for (Entry *entry : removed) this->MarkMissing(*entry, source, now, events);
 }
 
 std::vector<TargetEvent> TargetRegistry::OnFullList(const std::vector<TargetRow> &rows, TimePoint now)
 {
 	std::vector<TargetEvent> events;
-	std::set<std::string> seen;
+	std::set<std::string> listed;
 	for (const TargetRow &row : rows) {
 		if (!row.target) continue;
-		seen.insert(row.target->incarnation.Name());
+		listed.insert(row.target->incarnation.Name());
 		this->ApplyRow(*row.target, true, now, events);
 	}
-	std::vector<Entry *> gone;
+	std::vector<Entry *> removed;
 	for (auto &[name, entry] : this->entries) {
-		if (!seen.contains(name)) gone.push_back(&entry);
+		if (!listed.contains(name)) removed.push_back(&entry);
 	}
-	this->MarkAllMissing(gone, "not-listed", now, events);
+	this->MarkAllMissing(removed, "not-listed", now, events);
 	return events;
 }
 
 std::vector<TargetEvent> TargetRegistry::OnChanges(const std::vector<TargetRow> &rows, TimePoint now)
 {
 	std::vector<TargetEvent> events;
-	std::vector<Entry *> gone;
+	std::vector<Entry *> removed;
 	for (const TargetRow &row : rows) {
 		if (row.target) {
 			this->ApplyRow(*row.target, false, now, events);
 			continue;
 		}
-		auto newest = this->newest.find(row.id);
-		auto found = newest == this->newest.end() ? this->entries.end() : this->entries.find(newest->second);
-		if (found != this->entries.end()) gone.push_back(&found->second);
+		auto latest = this->latest.find(row.id);
+		auto found = latest == this->latest.end() ? this->entries.end() : this->entries.find(latest->second);
+		if (found != this->entries.end()) removed.push_back(&found->second);
 	}
-	this->MarkAllMissing(gone, "removed", now, events);
+	this->MarkAllMissing(removed, "removed", now, events);
 	return events;
 }
 
@@ -120,7 +121,7 @@
 	std::vector<TargetEvent> events;
 	auto found = this->entries.find(name);
 	if (found == this->entries.end()) return events;
-	found->second.departed = true;
+	found->second.retired = true;
 	this->UpdateUsable(found->second, source, false, now, events);
 	return events;
 }
@@ -154,7 +155,7 @@
 		if (entry.relisted && now >= entry.distrusted_until) entry.missing = entry.relisted = false;
 		if (entry.missing || !entry.usable) this->UpdateUsable(entry, entry.missing ? "lapsed" : "listed", false, now, events);
 		bool forget = entry.missing && !entry.usable && now - entry.missing_since > this->limits.departed_retention;
-		if (forget && this->newest[entry.target.incarnation.id] == it->first) this->newest.erase(entry.target.incarnation.id);
+		if (forget && this->latest[entry.target.incarnation.id] == it->first) this->latest.erase(entry.target.incarnation.id);
 		it = forget ? this->entries.erase(it) : std::next(it);
 	}
 	return events;
--- a/src/decision/target_registry.h
+++ b/src/decision/target_registry.h
@@ -34,18 +34,18 @@
 	Duration expiry_grace = std::chrono::seconds(2); ///< Time after a store outage for which targets with an expired row remain usable.
 	Duration departed_retention = std::chrono::minutes(2); ///< Time for which terminated targets and those without a row are remembered.
 	/**
-	 * Time after a restore of the store from a backup for which its rows of targets that were already gone are ignored: the backup may
+	 * Time after a restore of the store from a backup for which its rows of targets that were already removed are ignored: the backup may
 	 * contain targets that have left since.
 	 */
 	Duration restore_distrust_period = std::chrono::seconds(30);
 	size_t mass_expiry_min_rows = 3;        ///< Minimum number of rows that must disappear at once to be taken for expired ones.
-	double mass_expiry_min_fraction = 0.34; ///< Minimum fraction of the usable targets for the same.
+	double mass_expiry_min_fraction = 0.34; ///< Minimum fraction of the usable targets that they must be.
 };
 
 /**
  * Tracks the incarnations of all listed targets. A draining or superseded incarnation never becomes usable again. A target without a
  * row is not usable, except shortly after a store outage, in which the rows of live targets expire. After a restore of the store from
- * a backup, targets that were already gone are ignored until they update their row, and missing ones get time to write theirs.
+ * a backup, targets that were already removed are ignored until they update their row, and missing ones get time to write theirs.
  */
 class TargetRegistry {
 public:
@@ -81,26 +81,31 @@
 private:
 	/** One target incarnation. */
 	struct Entry {
-		ListedTarget target;        ///< The target as last listed.
-		bool departed = false;      ///< Whether it is draining or has terminated; final.
-		bool ended = false;         ///< Whether its termination was reported.
-		bool missing = false;       ///< Whether its row is missing.
-		bool usable = true;         ///< Whether it was last reported as usable.
-		TimePoint missing_since;    ///< When its row disappeared.
-		TimePoint usable_until;     ///< Until then it is usable without a row, after a store outage.
-		TimePoint distrusted_until; ///< Until then an unchanged row is ignored, after a restore of the store.
-		bool relisted = false;      ///< Whether such a row is in the list.
+		ListedTarget target;                ///< The target as last listed.
+		bool retired = false;               ///< Whether it is draining or has terminated; final.
+		bool terminated = false;            ///< Whether its termination was reported.
+		bool missing = false;               ///< Whether its row is missing.
+		bool usable = true;                 ///< Whether it was last reported as usable.
+		TimePoint missing_since;            ///< When its row disappeared.
+		TimePoint usable_without_row_until; ///< Until then it is usable without a row, after a store outage.
+		TimePoint distrusted_until;         ///< Until then an unchanged row is ignored, after a restore of the store.
+		bool relisted = false;              ///< Whether such a row is in the list.
 	};
 
+	/** Mark \a entry as terminated. */
 	void Terminate(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	/** Update whether \a entry is usable, and add an event if that or its row (\a changed) has changed. */
 	void UpdateUsable(Entry &entry, const char *source, bool changed, TimePoint now, std::vector<TargetEvent> &events);
+	/** Mark the row of \a entry as missing. */
 	void MarkMissing(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	/** Apply a row. @param full Whether it comes from the full list instead of a change. */
 	void ApplyRow(const ListedTarget &target, bool full, TimePoint now, std::vector<TargetEvent> &events);
-	void MarkAllMissing(const std::vector<Entry *> &gone, const char *source, TimePoint now, std::vector<TargetEvent> &events);
+	/** Mark the rows of \a removed as missing, after a check whether they expired in a store outage. */
+	void MarkAllMissing(const std::vector<Entry *> &removed, const char *source, TimePoint now, std::vector<TargetEvent> &events);
 
 	RegistryLimits limits;
 	std::map<std::string, Entry> entries;      ///< Incarnations by name.
-	std::map<std::string, std::string> newest; ///< Name of the latest incarnation of each target, by id.
+	std::map<std::string, std::string> latest; ///< Name of the latest incarnation of each target, by id.
 	TimePoint expiry_grace_until;              ///< Until then missing rows are taken for expired ones.
 };
 
--- a/src/decision/target_table.cpp
+++ b/src/decision/target_table.cpp
@@ -9,9 +9,8 @@
 
 namespace cottonspool {
 
-static constexpr uint32_t RESIDUAL_REFRESH_TOKENS =
-        16;                                          ///< Output tokens after which the expected remaining output of a call is recomputed.
-static constexpr double GROWTH_ON_PREEMPTION = 1.25; ///< Factor on TargetState::growth after a report with preemptions.
+static constexpr uint32_t RESIDUAL_REFRESH_TOKENS = 16;   ///< Output tokens between updates of the expected remaining output.
+static constexpr double GROWTH_ON_PREEMPTION = 1.25;      ///< Factor on TargetState::growth after a report with preemptions.
 static constexpr double GROWTH_WITHOUT_PREEMPTION = 0.98; ///< Factor on TargetState::growth after a report without preemptions.
 static constexpr double SHARE_ON_PREEMPTION = 0.5;        ///< Factor on TargetState::share_factor after a report with preemptions.
 static constexpr double SHARE_WITHOUT_PREEMPTION = 1.03;  ///< Factor on TargetState::share_factor after a report without preemptions.
@@ -33,12 +32,12 @@
 	target.hall = hall;
 	target.restrictions.evacuated = this->evacuated_halls.contains(target.hall);
 	target.engine = engine;
-	std::set<ModelNumber> wanted(models.begin(), models.end());
-	bool same = target.restrictions.known && target.models == wanted;
-	target.models = std::move(wanted);
+	std::set<ModelNumber> new_models(models.begin(), models.end());
+	bool unchanged = target.restrictions.known && target.models == new_models;
+	target.models = std::move(new_models);
 	target.restrictions.known = true;
 	// A new configuration contains every target again, so the index is rebuilt only for actual changes.
-	if (!same) this->RebuildIndex();
+	if (!unchanged) this->RebuildIndex();
 	return entry->second;
 }
 
@@ -95,14 +94,14 @@
 	target.known_at_report = 0;
 	target.known_calls_at_report = 0;
 	target.sent_since_report = 0;
-	target.copied_since_report = 0;
+	target.backed_up_since_report = 0;
 	TimePoint made_at = now - report.age;
 	for (const auto &[id, flight] : target.in_flight) {
 		if (flight.sent < made_at) {
 			target.known_at_report += flight.call.prompt_tokens + flight.generated;
 			target.known_calls_at_report++;
 		} else {
-			target.sent_since_report += this->Need(target, flight.call);
+			target.sent_since_report += this->MemoryNeed(target, flight.call);
 		}
 	}
 	target.reported_prefixes = std::set<uint64_t>(report.prefixes.begin(), report.prefixes.end());
@@ -209,7 +208,7 @@
 	return generated;
 }
 
-double TargetTable::Need(const TargetState &target, const CallSpec &call) const
+double TargetTable::MemoryNeed(const TargetState &target, const CallSpec &call) const
 {
 	if (!call.generated) return 1;
 	return call.prompt_tokens + target.growth * this->lengths.Residual(call, 0);
@@ -233,7 +232,7 @@
 {
 	double capacity = std::max<double>(1, static_cast<double>(target.report.capacity_tokens));
 	double own = target.known_tokens + target.growth * target.known_residual;
-	return (own + target.copied_since_report + this->OthersCommitted(target, now)) / capacity;
+	return (own + target.backed_up_since_report + this->OthersCommitted(target, now)) / capacity;
 }
 
 bool TargetTable::HasTurn(const TargetState &target) const
@@ -241,7 +240,7 @@
 	return HashText(target.name, target.report.sequence) % this->instances == this->instance_index;
 }
 
-double TargetTable::Allowance(const TargetState &target, const CallSpec &call, TimePoint now) const
+double TargetTable::Headroom(const TargetState &target, const CallSpec &call, TimePoint now) const
 {
 	double capacity = static_cast<double>(target.report.capacity_tokens) * this->limits.fill[static_cast<size_t>(call.service_class)];
 	double own = target.known_tokens + target.growth * target.known_residual;
--- a/src/decision/target_table.h
+++ b/src/decision/target_table.h
@@ -58,7 +58,7 @@
 /** Load of the calls of another data hall at a target, as published by that hall. */
 struct RemoteHallLoad {
 	HeldLoad held;
-	TimePoint heard; ///< When it was received.
+	TimePoint received_at; ///< When it was received.
 };
 
 /** State of one target as seen by this instance. */
@@ -73,7 +73,7 @@
 	double known_at_report = 0;         ///< Tokens of known calls that are included in the latest report.
 	uint32_t known_calls_at_report = 0; ///< Number of known calls that are included in the latest report.
 	double sent_since_report = 0;       ///< Expected memory of known calls sent since the latest report, in tokens.
-	double copied_since_report = 0;     ///< Tokens of backups made since the latest report.
+	double backed_up_since_report = 0;  ///< Tokens of backups made since the latest report.
 	double growth = 0.7;                ///< Fraction of the expected remaining output that is reserved.
 	double share_factor = 2;            ///< Share of the reported headroom for this instance, as a multiple of an equal share.
 	double known_tokens = 0;            ///< Tokens in memory of known calls, which are those of this instance and its peers.
@@ -201,10 +201,10 @@
 	void OnPeerCallEnded(TargetNumber target, CallId call, TimePoint now);
 
 	/** @return Memory of \a target, in tokens, that this instance may still fill with calls of the class of \a call. */
-	double Allowance(const TargetState &target, const CallSpec &call, TimePoint now) const;
+	double Headroom(const TargetState &target, const CallSpec &call, TimePoint now) const;
 
 	/** @return Memory, in tokens, to reserve at \a target for \a call. */
-	double Need(const TargetState &target, const CallSpec &call) const;
+	double MemoryNeed(const TargetState &target, const CallSpec &call) const;
 
 	/** @return Whether \a prefix is probably cached at \a target. */
 	static bool HasPrefix(const TargetState &target, uint64_t prefix);
@@ -219,7 +219,7 @@
 	double ExpectedOutput(const CallSpec &call) const { return call.generated ? this->lengths.Residual(call, 0) : 0; }
 
 	/** Handle the backup of a run, with an expected size of \a tokens, at \a target; counted until the next report includes it. */
-	void OnBackup(TargetNumber target, double tokens) { this->targets[target.value].copied_since_report += tokens; }
+	void OnBackup(TargetNumber target, double tokens) { this->targets[target.value].backed_up_since_report += tokens; }
 
 	/** @return Learned prefill rate of an engine, in tokens per second. */
 	double PrefillRate() const { return this->prefill_rate; }
@@ -248,18 +248,27 @@
 private:
 	/** @return Whether this instance gets the larger share of the headroom of \a target until the target's next report. */
 	bool HasTurn(const TargetState &target) const;
+	/** Rebuild the index of targets by model. */
 	void RebuildIndex();
+	/** Adapt the reserved growth and the share of \a target to the preemptions in \a report. */
 	void UpdateGrowth(TargetState &target, const LoadReport &report);
 	/** @return Whether \a target may be ejected: at most half of the targets of a model may be ejected or draining. */
 	bool MayEject(const TargetState &target, TimePoint now) const;
+	/** Eject \a target for a time that doubles with each consecutive ejection. */
 	void Eject(TargetState &target, TimePoint now);
+	/** Reinstate the reachable targets for the same models, and eject \a target if there are any. */
 	void EjectUnreachable(TargetState &target, TimePoint now);
+	/** @return Memory used by and reserved for unknown calls at \a target, in tokens. */
 	double OthersCommitted(const TargetState &target, TimePoint now) const;
 	/** @return Estimated load of unknown calls at \a target, from its report and from other data halls. */
 	static HeldLoad OthersLoadAt(const TargetState &target, TimePoint now);
+	/** Add \a tokens output tokens to \a flight and to the sums of \a target. */
 	void AddTokens(TargetState &target, InFlightCall &flight, TimePoint now, uint32_t tokens);
+	/** Remove a call in flight. @return Its output tokens. */
 	uint32_t RemoveCall(TargetState &target, CallId call, TimePoint now);
+	/** Add the prefill of \a flight to the pending ones of \a target. */
 	void OnPrefillQueued(TargetState &target, InFlightCall &flight, TimePoint now) const;
+	/** Remove the prefill of \a flight from the pending ones of \a target, and learn the prefill rate from it if possible. */
 	void OnPrefillDone(TargetState &target, const InFlightCall &flight, TimePoint now);
 
 	AdmissionLimits limits;
--- a/src/metrics/line_buffer.cpp
+++ b/src/metrics/line_buffer.cpp
@@ -13,13 +13,13 @@
 
 void LineBuffer::Add(std::string_view line)
 {
-	if (this->bytes.size() + line.size() + 1 > this->most) {
+	if (this->bytes.size() + line.size() + 1 > this->max_bytes) {
 		this->dropped++;
 		return;
 	}
-	if (this->dropped > this->told) {
-		this->bytes += "{\"event\":\"log-lines-dropped\",\"lines\":" + std::to_string(this->dropped - this->told) + "}\n";
-		this->told = this->dropped;
+	if (this->dropped > this->reported_drops) {
+		this->bytes += "{\"event\":\"log-lines-dropped\",\"lines\":" + std::to_string(this->dropped - this->reported_drops) + "}\n";
+		this->reported_drops = this->dropped;
 	}
 	this->bytes += line;
 	this->bytes += '\n';
--- a/src/metrics/line_buffer.h
+++ b/src/metrics/line_buffer.h
@@ -15,9 +15,9 @@
 public:
 	/**
 	 * @param fd File descriptor to write to.
-	 * @param most Maximum number of buffered bytes.
+	 * @param max_bytes Maximum number of buffered bytes.
 	 */
-	LineBuffer(int fd, size_t most) : fd(fd), most(most) {}
+	LineBuffer(int fd, size_t max_bytes) : fd(fd), max_bytes(max_bytes) {}
 
 	/** Add \a line, given without line end, or drop it if the buffer is full. */
 	void Add(std::string_view line);
@@ -32,11 +32,11 @@
 	size_t Waiting() const { return this->bytes.size(); }
 
 private:
-	int fd;               ///< File descriptor to write to.
-	size_t most;          ///< Maximum number of buffered bytes.
-	std::string bytes;    ///< Buffered lines.
-	uint64_t dropped = 0; ///< Number of dropped lines.
-	uint64_t told = 0;    ///< Number of dropped lines already reported in a log line.
+	int fd;                      ///< File descriptor to write to.
+	size_t max_bytes;            ///< Maximum number of buffered bytes.
+	std::string bytes;           ///< Buffered lines.
+	uint64_t dropped = 0;        ///< Number of dropped lines.
+	uint64_t reported_drops = 0; ///< Number of dropped lines already reported in a log line.
 };
 
 } // namespace cottonspool
--- a/src/metrics/log.cpp
+++ b/src/metrics/log.cpp
@@ -60,8 +60,8 @@
 	using Sink = boost::log::sinks::unlocked_sink<BufferBackend>;
 	json_form = form == "json";
 	instance_name = instance;
-	trivial::severity_level least = trivial::info;
-	trivial::from_string(level.c_str(), level.size(), least);
+	trivial::severity_level min_severity = trivial::info;
+	trivial::from_string(level.c_str(), level.size(), min_severity);
 	auto sink = boost::make_shared<Sink>(boost::make_shared<BufferBackend>());
 	boost::log::add_common_attributes();
 	if (json_form) {
@@ -72,7 +72,7 @@
 		                                                    << boost::log::expressions::smessage);
 	}
 	boost::log::core::get()->add_sink(sink);
-	boost::log::core::get()->set_filter(trivial::severity >= least);
+	boost::log::core::get()->set_filter(trivial::severity >= min_severity);
 	std::atexit(FlushLog);
 }
 
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -70,8 +70,8 @@
 	this->by_class[static_cast<size_t>(measure)][static_cast<size_t>(service_class)].Add(value);
 	auto row = this->by_account.find(account);
 	if (row == this->by_account.end()) {
-		bool room = this->by_account.size() < this->account_series;
-		row = this->by_account.try_emplace(room ? account : OTHER_ACCOUNTS).first;
+		bool has_free_series = this->by_account.size() < this->account_series;
+		row = this->by_account.try_emplace(has_free_series ? account : OTHER_ACCOUNTS).first;
 	}
 	std::unique_ptr<Histogram> &histogram = row->second[static_cast<size_t>(measure)];
 	if (!histogram) histogram = std::make_unique<Histogram>();
--- a/src/operator/explain_log.cpp
+++ b/src/operator/explain_log.cpp
@@ -89,11 +89,11 @@
 	std::string target = ended->Field("target");
 	std::string text = target + " was lost (" + ended->Field("cause") + ")";
 	if (const LogLine *notice = this->FindDrainNotice(target, ended->at_ms)) {
-		std::ostringstream told;
-		told << " " << std::fixed << std::setprecision(1) << (ended->at_ms - notice->at_ms) / 1000 << " s after its drain notice ("
-		     << notice->Field("source") << ")";
+		std::ostringstream notice_text;
+		notice_text << " " << std::fixed << std::setprecision(1) << (ended->at_ms - notice->at_ms) / 1000 << " s after its drain notice ("
+		            << notice->Field("source") << ")";
 		const LogLine *move = this->Last("move");
-		text += told.str();
+		text += notice_text.str();
 		text += move == nullptr ? ", and its run was not migrated"
 		                        : ", and the migration did not finish in time (" + move->Field("step") + ": " + move->Field("result") + ")";
 	} else {
@@ -134,9 +134,9 @@
 	double last = this->lines.back().at_ms;
 	std::vector<LogLine> related = this->lines;
 	for (const LogLine &line : this->context_lines) {
-		bool near = instances.contains(line.instance) && line.at_ms >= first && line.at_ms <= last;
-		bool bears = line.event != "target-leaving" || targets.contains(line.Field("target"));
-		if (near && bears) related.push_back(line);
+		bool in_range = instances.contains(line.instance) && line.at_ms >= first && line.at_ms <= last;
+		bool relevant = line.event != "target-leaving" || targets.contains(line.Field("target"));
+		if (in_range && relevant) related.push_back(line);
 	}
 	std::stable_sort(related.begin(), related.end(), [](const LogLine &a, const LogLine &b) {
 		return a.instance != b.instance ? a.instance < b.instance : a.at_ms < b.at_ms;
@@ -149,9 +149,10 @@
 	std::ostringstream text;
 	text << this->request << ": " << this->Cause() << "\n";
 	if (this->lines.empty()) return text.str();
-	double begun = this->lines.front().at_ms;
+	double start_ms = this->lines.front().at_ms;
 	for (const LogLine &line : this->Related()) {
-		text << std::setw(9) << std::fixed << std::setprecision(0) << line.at_ms - begun << " ms  " << line.instance << "  " << line.event;
+		text << std::setw(9) << std::fixed << std::setprecision(0) << line.at_ms - start_ms << " ms  " << line.instance << "  "
+		     << line.event;
 		for (const auto &[name, value] : line.fields) {
 			if (name != "request" && !value.empty()) text << "  " << name << "=" << value;
 		}
--- a/src/operator/operator.cpp
+++ b/src/operator/operator.cpp
@@ -20,9 +20,9 @@
 
 using Json = nlohmann::json;
 
-static constexpr long CALL_LIMIT_MS = 30000; ///< Timeout of one request.
-static constexpr int MAX_APPLY_ATTEMPTS = 5; ///< Maximum number of attempts to apply a change; its id makes retries idempotent.
-static constexpr auto POLL_PAUSE = std::chrono::milliseconds(200); ///< Interval between polls and retries.
+static constexpr long REQUEST_TIMEOUT_MS = 30000; ///< Timeout of one request.
+static constexpr int MAX_APPLY_ATTEMPTS = 5;      ///< Maximum number of attempts to apply a change; its id makes retries idempotent.
+static constexpr auto POLL_INTERVAL = std::chrono::milliseconds(200); ///< Interval between polls and retries.
 
 /** Answer of an instance. */
 struct Answer {
@@ -47,7 +47,7 @@
 	curl_easy_setopt(easy, CURLOPT_URL, (server + path).c_str());
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
-	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, CALL_LIMIT_MS);
+	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, REQUEST_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, AppendBody);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, &answer.body);
 	if (body != nullptr) curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body->c_str());
@@ -162,7 +162,7 @@
 	auto end = std::chrono::steady_clock::now() + options.wait;
 	std::set<std::string> behind = InstancesBehind(options, sequence);
 	while (!behind.empty() && std::chrono::steady_clock::now() < end) {
-		std::this_thread::sleep_for(POLL_PAUSE);
+		std::this_thread::sleep_for(POLL_INTERVAL);
 		behind = InstancesBehind(options, sequence);
 	}
 	if (behind.empty()) return true;
@@ -181,31 +181,31 @@
 		change.base = Json::parse(status.body, nullptr, false).value("sequence", 0ULL);
 	}
 	std::string body = FormatChange(change);
-	bool doubtful = false;
+	bool outcome_unknown = false;
 	std::string last = "no --server given";
 	for (int i = 0; i < MAX_APPLY_ATTEMPTS && !options.servers.empty(); i++) {
 		Answer answer = SendRequest(options, options.servers[static_cast<size_t>(i) % options.servers.size()], "/operator/apply", &body);
-		Json said = Json::parse(answer.body, nullptr, false);
+		Json reply = Json::parse(answer.body, nullptr, false);
 		if (answer.status == 200) {
-			uint64_t sequence = said.value("sequence", 0ULL);
-			std::cout << "accepted as sequence " << sequence << (said.value("repeated", false) ? " (before)" : "") << ", change "
+			uint64_t sequence = reply.value("sequence", 0ULL);
+			std::cout << "accepted as sequence " << sequence << (reply.value("repeated", false) ? " (before)" : "") << ", change "
 			          << change.id << std::endl;
 			if (options.wait > Duration{0} && !WaitUntilInForce(options, sequence)) return EXIT_FAILED;
 			return EXIT_OK;
 		}
 		if (answer.status == 409) {
-			const Json &other = said["conflict"];
+			const Json &other = reply["conflict"];
 			return PrintError("conflict: sequence " + std::to_string(other.value("sequence", 0ULL)) + ", change " +
 			                          other.value("change", "") + " by " + other.value("author", "") +
 			                          " modified the same records after your base " + std::to_string(change.base),
 			                  EXIT_CONFLICT);
 		}
 		if (answer.status >= 400 && answer.status < 500) return PrintError(DescribeFailure(answer));
-		doubtful = doubtful || answer.status != 503;
+		outcome_unknown = outcome_unknown || answer.status != 503;
 		last = DescribeFailure(answer);
-		std::this_thread::sleep_for(POLL_PAUSE);
+		std::this_thread::sleep_for(POLL_INTERVAL);
 	}
-	if (!doubtful) return PrintError("not accepted: " + last);
+	if (!outcome_unknown) return PrintError("not accepted: " + last);
 	return PrintError("outcome unknown: the change may have been accepted; retry with id = \"" + change.id + "\": " + last, EXIT_UNKNOWN);
 }
 
@@ -297,7 +297,7 @@
 	auto end = std::chrono::steady_clock::now() + options.wait;
 	int64_t in_flight = InFlightAt(options, target);
 	while (in_flight != 0 && std::chrono::steady_clock::now() < end) {
-		std::this_thread::sleep_for(POLL_PAUSE);
+		std::this_thread::sleep_for(POLL_INTERVAL);
 		in_flight = InFlightAt(options, target);
 	}
 	if (in_flight != 0) return PrintError(target + " still has calls in flight: " + std::to_string(in_flight));
@@ -307,14 +307,14 @@
 
 int RunExplainLogs(const std::string &request, const std::vector<std::string> &logs)
 {
-	RequestTrace story(request);
+	RequestTrace trace(request);
 	for (const std::string &path : logs) {
 		std::ifstream file(path);
 		if (path != "-" && !file) return PrintError(path + ": cannot be read");
-		story.Add(path == "-" ? std::cin : file);
+		trace.Add(path == "-" ? std::cin : file);
 	}
-	if (!story.IsKnown()) return PrintError("request not found in the logs: " + request);
-	std::cout << story.Text();
+	if (!trace.IsKnown()) return PrintError("request not found in the logs: " + request);
+	std::cout << trace.Text();
 	return EXIT_OK;
 }
 
--- a/src/tests/dispatcher_test.cpp
+++ b/src/tests/dispatcher_test.cpp
@@ -18,16 +18,17 @@
 struct TrackedCall {
 	CallSpec spec;
 	std::optional<TargetNumber> holder; ///< Target to which it was sent.
-	bool over = false;                  ///< Whether it has finished or was rejected.
-	bool in_doubt = false;              ///< Whether an attempt ended with an unknown outcome.
+	bool finished = false;              ///< Whether it has finished or was rejected.
+	bool outcome_unknown = false;       ///< Whether an attempt ended with an unknown outcome.
 	int sends = 0;                      ///< Number of attempts.
 	std::set<uint32_t> failed_at;       ///< Targets at which an attempt failed.
 };
 
 /** Feeds random events to a dispatcher and checks every decision. */
-class DispatcherWorld {
+class DispatcherHarness {
 public:
-	explicit DispatcherWorld(uint32_t seed, const char *router = "headroom") : random(seed), dispatcher(Limits(), MakeRouter(router, seed))
+	explicit DispatcherHarness(uint32_t seed, const char *router = "headroom")
+	    : random(seed), dispatcher(Limits(), MakeRouter(router, seed))
 	{
 		this->dispatcher.Targets().SetInstances(0, 2);
 		for (int i = 0; i < 3; i++) {
@@ -60,11 +61,11 @@
 		case 5:
 			return this->End();
 		case 6:
-			return this->Leave();
+			return this->ToggleDraining();
 		case 7:
-			return this->Say();
+			return this->SendSignals();
 		default:
-			return this->Take(this->dispatcher.OnTick(this->now));
+			return this->Apply(this->dispatcher.OnTick(this->now));
 		}
 	}
 
@@ -74,9 +75,9 @@
 		for (int i = 0; i < 200; i++) {
 			this->now += milliseconds(200);
 			this->End(SendOutcome::Complete);
-			this->Take(this->dispatcher.OnTick(this->now));
+			this->Apply(this->dispatcher.OnTick(this->now));
 		}
-		for (const TrackedCall &call : this->calls) RC_ASSERT(call.over);
+		for (const TrackedCall &call : this->calls) RC_ASSERT(call.finished);
 		RC_ASSERT(this->dispatcher.Queue().Size() == 0U);
 		RC_ASSERT(this->dispatcher.InFlight() == 0U);
 	}
@@ -95,7 +96,7 @@
 		call.spec.arrived = this->now;
 		call.spec.deadline = this->now + milliseconds(this->random() % 3000);
 		this->calls.push_back(call);
-		this->Take(this->dispatcher.Submit(call.spec, this->now));
+		this->Apply(this->dispatcher.Submit(call.spec, this->now));
 	}
 
 	void Report(int target)
@@ -108,7 +109,7 @@
 		report.running = this->random() % 10;
 		report.preemptions = this->reports / 7;
 		report.age = milliseconds(this->random() % 500);
-		this->Take(this->dispatcher.OnReport(this->targets[static_cast<size_t>(target)], report, this->now));
+		this->Apply(this->dispatcher.OnReport(this->targets[static_cast<size_t>(target)], report, this->now));
 	}
 
 	TrackedCall *InFlight()
@@ -134,14 +135,14 @@
 		if (end != SendOutcome::Complete) call->failed_at.insert(call->holder->value);
 		call->holder.reset();
 		bool failed = end == SendOutcome::Lost || end == SendOutcome::Failed;
-		call->in_doubt = call->in_doubt || failed;
+		call->outcome_unknown = call->outcome_unknown || failed;
 		bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected;
 		bool again = not_executed || end == SendOutcome::NotSent || (failed && call->spec.repeatable);
-		call->over = !again;
-		this->Take(this->dispatcher.OnSendEnded(call->spec.id, end, this->now));
+		call->finished = !again;
+		this->Apply(this->dispatcher.OnSendEnded(call->spec.id, end, this->now));
 	}
 
-	void Leave()
+	void ToggleDraining()
 	{
 		if (this->random() % 4 != 0) return;
 		TargetNumber target = this->targets[this->random() % 2];
@@ -151,7 +152,7 @@
 	}
 
 	/** Generate random signals of a target: a rate limit, its removal, a pause. */
-	void Say()
+	void SendSignals()
 	{
 		if (this->random() % 4 != 0) return;
 		uint32_t target = this->random() % 3;
@@ -162,35 +163,35 @@
 		this->dispatcher.Targets().SetLimitShare(this->targets[target], {this->random() % 4, milliseconds(500)});
 		this->dispatcher.Targets().OnSignals(this->targets[target], signals, this->now, this->now);
 		this->paused_until[target] = std::max(this->paused_until[target], this->now + signals.pause);
-		this->Take(this->dispatcher.OnPlacementChanged(this->now));
+		this->Apply(this->dispatcher.OnPlacementChanged(this->now));
 	}
 
-	void Take(const Decisions &decisions)
+	void Apply(const Decisions &decisions)
 	{
 		for (const SendAction &send : decisions.sends) {
 			TrackedCall &call = this->calls[send.call.value];
 			this->trace += "s" + std::to_string(send.call.value) + ">" + std::to_string(send.target.value) + " ";
-			RC_ASSERT(!call.over);
+			RC_ASSERT(!call.finished);
 			RC_ASSERT(!call.holder.has_value());
-			RC_ASSERT(call.spec.repeatable || !call.in_doubt);
+			RC_ASSERT(call.spec.repeatable || !call.outcome_unknown);
 			RC_ASSERT(!this->dispatcher.Targets().Get(send.target).restrictions.draining);
-			RC_ASSERT(!call.failed_at.contains(send.target.value) || this->NoOtherThan(call));
+			RC_ASSERT(!call.failed_at.contains(send.target.value) || this->HasNoOtherTarget(call));
 			RC_ASSERT(this->now >= this->paused_until[send.target.value]);
 			RC_ASSERT(++call.sends <= 3);
 			call.holder = send.target;
 		}
-		for (const RejectAction &give_up : decisions.rejections) {
-			TrackedCall &call = this->calls[give_up.call.value];
-			this->trace += "g" + std::to_string(give_up.call.value) + " ";
-			RC_ASSERT(!call.over);
+		for (const RejectAction &rejection : decisions.rejections) {
+			TrackedCall &call = this->calls[rejection.call.value];
+			this->trace += "g" + std::to_string(rejection.call.value) + " ";
+			RC_ASSERT(!call.finished);
 			RC_ASSERT(!call.holder.has_value());
-			RC_ASSERT(give_up.retry_after > Duration{0});
-			call.over = true;
+			RC_ASSERT(rejection.retry_after > Duration{0});
+			call.finished = true;
 		}
 	}
 
 	/** @return Whether no target may get \a call other than those at which it failed. */
-	bool NoOtherThan(const TrackedCall &call) const
+	bool HasNoOtherTarget(const TrackedCall &call) const
 	{
 		return std::all_of(this->targets.begin(), this->targets.end(), [&](TargetNumber target) {
 			const TargetState &state = this->dispatcher.Targets().Get(target);
@@ -207,6 +208,7 @@
 	std::map<uint32_t, TimePoint> paused_until; ///< End of the pause of each target.
 };
 
+/** @return A generation that waits at most 10 s. */
 CallSpec MakeCall(uint64_t id, uint32_t account, TimePoint now)
 {
 	CallSpec call;
@@ -223,9 +225,9 @@
 TEST_CASE("Dispatcher - one target per call, no retry with unknown outcome unless repeatable, none to draining targets, no lost calls")
 {
 	bool good = rc::check("events", [](uint32_t seed) {
-		DispatcherWorld world(seed);
-		for (int i = 0; i < 400; i++) world.Step();
-		world.Finish();
+		DispatcherHarness harness(seed);
+		for (int i = 0; i < 400; i++) harness.Step();
+		harness.Finish();
 	});
 	CHECK(good);
 }
@@ -233,7 +235,7 @@
 TEST_CASE("Dispatcher - the same events give the same decisions")
 {
 	bool good = rc::check("replay", [](uint32_t seed) {
-		DispatcherWorld first(seed), second(seed);
+		DispatcherHarness first(seed), second(seed);
 		for (int i = 0; i < 200; i++) {
 			first.Step();
 			second.Step();
@@ -352,7 +354,7 @@
 			factor = targets.Get(number).share_factor;
 			CallSpec call = MakeCall(1, 0, now);
 			free = std::max(0.0, 10000 * 0.97 - static_cast<double>(used));
-			planned += std::max(0.0, targets.Allowance(targets.Get(number), call, now));
+			planned += std::max(0.0, targets.Headroom(targets.Get(number), call, now));
 		}
 		RC_ASSERT(planned <= free * factor + 1);
 		if (preempted) RC_ASSERT(planned <= free + 1);
--- a/src/tests/request_test.cpp
+++ b/src/tests/request_test.cpp
@@ -13,7 +13,7 @@
 using namespace cottonspool;
 
 /** @return The error for the request \a body, or an empty string if it is valid. */
-static std::string WrongWith(const std::string &body, const char *path = "/v1/completions")
+static std::string ErrorFor(const std::string &body, const char *path = "/v1/completions")
 {
 	auto parsed = ParseCompletion(HttpRequest{"POST", path, "", {}, body});
 	return parsed ? "" : parsed.error().reason;
@@ -21,17 +21,17 @@
 
 TEST_CASE("Completions - the error names the invalid field")
 {
-	CHECK(WrongWith("{") == "bad-body");
-	CHECK(WrongWith("[]") == "bad-body");
-	CHECK(WrongWith(R"({"prompt":"x"})") == "bad-model");
-	CHECK(WrongWith(R"({"model":"m","prompt":7})") == "bad-prompt");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","stream":"yes"})") == "bad-stream");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","max_tokens":-1})") == "bad-max_tokens");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","max_tokens":1.5})") == "bad-max_tokens");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","n":2})") == "bad-n");
-	CHECK(WrongWith(R"({"model":"m","messages":[]})", "/v1/chat/completions") == "bad-messages");
-	CHECK(WrongWith(R"({"model":"m","messages":[{"content":"x"}]})", "/v1/chat/completions") == "bad-messages");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","max_tokens":5})").empty());
+	CHECK(ErrorFor("{") == "bad-body");
+	CHECK(ErrorFor("[]") == "bad-body");
+	CHECK(ErrorFor(R"({"prompt":"x"})") == "bad-model");
+	CHECK(ErrorFor(R"({"model":"m","prompt":7})") == "bad-prompt");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","stream":"yes"})") == "bad-stream");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","max_tokens":-1})") == "bad-max_tokens");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","max_tokens":1.5})") == "bad-max_tokens");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","n":2})") == "bad-n");
+	CHECK(ErrorFor(R"({"model":"m","messages":[]})", "/v1/chat/completions") == "bad-messages");
+	CHECK(ErrorFor(R"({"model":"m","messages":[{"content":"x"}]})", "/v1/chat/completions") == "bad-messages");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","max_tokens":5})").empty());
 }
 
 TEST_CASE("Completions - a caller cannot set the engine's priority, and the engine always streams")
@@ -47,8 +47,8 @@
 TEST_CASE("Completions - the parsers of external input handle arbitrary bytes")
 {
 	bool good = rc::check("bytes", [](const std::string &bytes) {
-		(void)WrongWith(bytes);
-		(void)WrongWith(R"({"model":"m","prompt":)" + bytes + "}");
+		(void)ErrorFor(bytes);
+		(void)ErrorFor(R"({"model":"m","prompt":)" + bytes + "}");
 		(void)ParseCompletionChunk(bytes);
 		ReportedState state;
 		(void)ParseLoadReport(bytes, &state);
--- a/src/tests/target_health_test.cpp
+++ b/src/tests/target_health_test.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 /** A target table with three services in one pool. */
-struct HealthWorld {
+struct HealthHarness {
 	LengthEstimate lengths{{}};              ///< Not used for services.
 	TargetTable targets{{}, lengths};        ///< Table under test.
 	TimePoint now{std::chrono::seconds(10)}; ///< Simulated time.
 	std::vector<TargetNumber> all;           ///< The services.
 	uint64_t next = 1;                       ///< Id of the next call.
 
-	HealthWorld()
+	HealthHarness()
 	{
 		for (const char *name : {"a", "b", "c"}) {
 			this->all.push_back(this->targets.Configure(name, "hall", {ModelNumber{0}}, false));
@@ -26,7 +26,7 @@
 	}
 
 	/** Send \a times calls to the target \a index and end them with \a result. */
-	void Calls(size_t index, SendResult result, int times)
+	void EndCalls(size_t index, SendResult result, int times)
 	{
 		for (int i = 0; i < times; i++) {
 			CallSpec call;
@@ -54,49 +54,49 @@
 
 TEST_CASE("Targets - an unreachable target is ejected and reinstates targets that only failed")
 {
-	HealthWorld world;
-	world.Calls(0, SendResult::Failed, 3);
-	CHECK_FALSE(world.IsUsable(0));
-	world.Calls(1, SendResult::Unreachable, 2);
-	CHECK_FALSE(world.IsUsable(1));
-	CHECK(world.IsUsable(0));
-	world.Calls(2, SendResult::Unreachable, 2);
-	CHECK_FALSE(world.IsUsable(2));
-	CHECK(world.IsUsable(0));
+	HealthHarness harness;
+	harness.EndCalls(0, SendResult::Failed, 3);
+	CHECK_FALSE(harness.IsUsable(0));
+	harness.EndCalls(1, SendResult::Unreachable, 2);
+	CHECK_FALSE(harness.IsUsable(1));
+	CHECK(harness.IsUsable(0));
+	harness.EndCalls(2, SendResult::Unreachable, 2);
+	CHECK_FALSE(harness.IsUsable(2));
+	CHECK(harness.IsUsable(0));
 }
 
 TEST_CASE("Targets - the last usable target is not ejected, and one that answers again is reinstated")
 {
-	HealthWorld world;
-	for (size_t i = 0; i < 3; i++) world.Calls(i, SendResult::Unreachable, 2);
-	CHECK(world.IsUsable(2));
-	world.now += std::chrono::seconds(2);
-	CHECK(world.IsUsable(0));
-	world.Calls(0, SendResult::Answered, 1);
-	world.Calls(2, SendResult::Unreachable, 1);
-	CHECK_FALSE(world.IsUsable(2));
-	CHECK(world.IsUsable(0));
+	HealthHarness harness;
+	for (size_t i = 0; i < 3; i++) harness.EndCalls(i, SendResult::Unreachable, 2);
+	CHECK(harness.IsUsable(2));
+	harness.now += std::chrono::seconds(2);
+	CHECK(harness.IsUsable(0));
+	harness.EndCalls(0, SendResult::Answered, 1);
+	harness.EndCalls(2, SendResult::Unreachable, 1);
+	CHECK_FALSE(harness.IsUsable(2));
+	CHECK(harness.IsUsable(0));
 }
 
 TEST_CASE("Targets - an ejected target is probed again despite peers' calls and migrations")
 {
-	HealthWorld world;
-	world.Calls(0, SendResult::Failed, 3);
-	CHECK_FALSE(world.IsUsable(0));
+	HealthHarness harness;
+	harness.EndCalls(0, SendResult::Failed, 3);
+	CHECK_FALSE(harness.IsUsable(0));
 	CallSpec foreign;
 	foreign.id = CallId{1ULL << 62};
-	world.targets.OnPeerCallSent(world.all[0], foreign, world.now);
-	world.now += std::chrono::seconds(2);
-	CHECK(world.IsUsable(0));
-	world.targets.OnPeerCallEnded(world.all[0], foreign.id, world.now);
-	CHECK(world.IsUsable(0));
+	harness.targets.OnPeerCallSent(harness.all[0], foreign, harness.now);
+	harness.now += std::chrono::seconds(2);
+	CHECK(harness.IsUsable(0));
+	harness.targets.OnPeerCallEnded(harness.all[0], foreign.id, harness.now);
+	CHECK(harness.IsUsable(0));
 	// A call of this instance is the probe; until it ends, no other call is sent.
 	CallSpec own;
 	own.id = CallId{77};
-	world.targets.OnSent(world.all[0], own, world.now);
-	CHECK_FALSE(world.IsUsable(0));
-	world.targets.OnMigrated(world.all[0], world.all[1], own.id, world.now);
-	CHECK(world.IsUsable(0));
+	harness.targets.OnSent(harness.all[0], own, harness.now);
+	CHECK_FALSE(harness.IsUsable(0));
+	harness.targets.OnMigrated(harness.all[0], harness.all[1], own.id, harness.now);
+	CHECK(harness.IsUsable(0));
 }
 
 TEST_CASE("Targets - a failing target is ejected, probed by one call, and reinstated")
--- a/src/tests/target_limit_test.cpp
+++ b/src/tests/target_limit_test.cpp
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 /** @return The signals of an answer that advertises a limit of \a per_second; nothing for no limit. */
-static TargetSignals Named(std::optional<double> per_second)
+static TargetSignals Advertise(std::optional<double> per_second)
 {
 	TargetSignals signals;
 	signals.limit = per_second ? SignalState::Present : SignalState::Absent;
@@ -21,7 +21,7 @@
 }
 
 /** @return Maximum number of \a arrivals, in any order, within one rate limit window. */
-static size_t MostInASpan(std::vector<TimePoint> arrivals)
+static size_t MaxPerWindow(std::vector<TimePoint> arrivals)
 {
 	std::sort(arrivals.begin(), arrivals.end());
 	size_t max_requests = 0;
@@ -36,20 +36,20 @@
 {
 	TargetRateLimit limit;
 	TimePoint now{seconds(100)};
-	CHECK(!limit.OnAnswer(Named({}), now - seconds(1), now));
-	CHECK(limit.OnAnswer(Named(3), now - seconds(1), now));
+	CHECK(!limit.OnAnswer(Advertise({}), now - seconds(1), now));
+	CHECK(limit.OnAnswer(Advertise(3), now - seconds(1), now));
 	CHECK(limit.IsActive());
 	// Answers to requests sent before the last advertisement.
-	CHECK(!limit.OnAnswer(Named({}), now - milliseconds(10), now + milliseconds(10)));
-	CHECK(!limit.OnAnswer(Named(5), now, now + milliseconds(20)));
-	CHECK(limit.OnAnswer(Named(2), now - seconds(1), now + milliseconds(30)));
-	TargetSignals garbled = Named({});
+	CHECK(!limit.OnAnswer(Advertise({}), now - milliseconds(10), now + milliseconds(10)));
+	CHECK(!limit.OnAnswer(Advertise(5), now, now + milliseconds(20)));
+	CHECK(limit.OnAnswer(Advertise(2), now - seconds(1), now + milliseconds(30)));
+	TargetSignals garbled = Advertise({});
 	garbled.limit = SignalState::Unreadable;
 	CHECK(!limit.OnAnswer(garbled, now + milliseconds(40), now + milliseconds(50)));
 	CHECK(limit.IsActive());
-	CHECK(limit.OnAnswer(Named(4), now + milliseconds(40), now + milliseconds(60)));
+	CHECK(limit.OnAnswer(Advertise(4), now + milliseconds(40), now + milliseconds(60)));
 	CHECK(limit.Bound().per_second == doctest::Approx(4));
-	CHECK(limit.OnAnswer(Named({}), now + milliseconds(70), now + milliseconds(80)));
+	CHECK(limit.OnAnswer(Advertise({}), now + milliseconds(70), now + milliseconds(80)));
 	CHECK(!limit.IsActive());
 	CHECK(limit.MaySend(now));
 }
@@ -61,7 +61,7 @@
 	for (int i = 0; i < 6; i++) limit.OnSent(now + milliseconds(100 * i));
 	limit.SetShare({4, RATE_LIMIT_WINDOW});
 	CHECK(limit.MaySend(now + seconds(1)));
-	limit.OnAnswer(Named(1), now, now + seconds(1));
+	limit.OnAnswer(Advertise(1), now, now + seconds(1));
 	CHECK(!limit.MaySend(now + seconds(1)));
 	CHECK(!limit.MaySend(now + seconds(4)));
 	CHECK(limit.MaySend(now + seconds(4) + milliseconds(250)));
@@ -80,7 +80,7 @@
 		for (const std::string &own : names) {
 			TargetRateLimit limit;
 			limit.SetShare(ShareRate("target", {per_second, RATE_LIMIT_WINDOW}, names, own));
-			limit.OnAnswer(Named(per_second), begin, begin);
+			limit.OnAnswer(Advertise(per_second), begin, begin);
 			for (TimePoint now = begin + milliseconds(random() % 600); now < begin + seconds(24);
 			     now += milliseconds(20 + random() % 100)) {
 				if (!limit.MaySend(now)) continue;
@@ -88,7 +88,7 @@
 				arrivals.push_back(now + milliseconds(random() % 150));
 			}
 		}
-		RC_ASSERT(static_cast<double>(MostInASpan(arrivals)) <= std::max(1.0, Seconds(RATE_LIMIT_WINDOW) * per_second));
+		RC_ASSERT(static_cast<double>(MaxPerWindow(arrivals)) <= std::max(1.0, Seconds(RATE_LIMIT_WINDOW) * per_second));
 		// The limit is also used up, as far as there are enough attempts.
 		double tried = static_cast<double>(count) * 24 / 0.12;
 		RC_ASSERT(static_cast<double>(arrivals.size()) >= 0.7 * std::min(24 * per_second, tried));
@@ -99,8 +99,8 @@
 namespace {
 
 /** A dispatcher with three services. */
-struct LimitWorld {
-	LimitWorld() : dispatcher({}, MakeRouter("headroom", 1))
+struct LimitHarness {
+	LimitHarness() : dispatcher({}, MakeRouter("headroom", 1))
 	{
 		for (const char *name : {"a", "b", "c"}) {
 			this->targets.push_back(this->dispatcher.Targets().Configure(name, "hall", {ModelNumber{0}}, false));
@@ -112,11 +112,11 @@
 	void Limit(TargetNumber target, std::optional<double> per_second, uint32_t share)
 	{
 		this->dispatcher.Targets().SetLimitShare(target, {share, RATE_LIMIT_WINDOW});
-		this->dispatcher.Targets().OnSignals(target, Named(per_second), this->now, this->now);
+		this->dispatcher.Targets().OnSignals(target, Advertise(per_second), this->now, this->now);
 	}
 
 	/** Submit a call. @return The decisions. */
-	Decisions Ask()
+	Decisions SubmitCall()
 	{
 		CallSpec call;
 		call.id = CallId{this->next++};
@@ -137,47 +137,47 @@
 
 TEST_CASE("Limit - excess calls go to targets without a limit, else are rejected with the time at which the limit allows one")
 {
-	LimitWorld world;
-	for (int i = 0; i < 2; i++) world.Limit(world.targets[i], 1, 2);
+	LimitHarness harness;
+	for (int i = 0; i < 2; i++) harness.Limit(harness.targets[i], 1, 2);
 	std::map<uint32_t, int> sent;
 	for (int i = 0; i < 30; i++) {
-		Decisions decisions = world.Ask();
+		Decisions decisions = harness.SubmitCall();
 		REQUIRE(decisions.sends.size() == 1);
 		sent[decisions.sends[0].target.value]++;
 	}
-	CHECK(sent[world.targets[0].value] <= 2);
-	CHECK(sent[world.targets[1].value] <= 2);
+	CHECK(sent[harness.targets[0].value] <= 2);
+	CHECK(sent[harness.targets[1].value] <= 2);
 	// Without a target that has no limit, calls are rejected at once with the time at which the limit allows the next one.
-	world.dispatcher.Targets().MarkDraining(world.targets[2]);
-	for (int i = 0; i < 4; i++) world.Ask();
-	world.now += seconds(1);
-	Decisions refused = world.Ask();
-	REQUIRE(refused.rejections.size() == 1);
-	CHECK(refused.rejections[0].reason == RejectReason::AllRestricted);
-	CHECK(refused.rejections[0].restrictions[static_cast<size_t>(Restriction::Limit)] == 2);
-	CHECK(refused.rejections[0].retry_after >= seconds(3));
-	CHECK(refused.rejections[0].retry_after <= seconds(5));
-	CHECK(world.dispatcher.Queue().Size() == 0);
+	harness.dispatcher.Targets().MarkDraining(harness.targets[2]);
+	for (int i = 0; i < 4; i++) harness.SubmitCall();
+	harness.now += seconds(1);
+	Decisions rejected = harness.SubmitCall();
+	REQUIRE(rejected.rejections.size() == 1);
+	CHECK(rejected.rejections[0].reason == RejectReason::AllRestricted);
+	CHECK(rejected.rejections[0].restrictions[static_cast<size_t>(Restriction::Limit)] == 2);
+	CHECK(rejected.rejections[0].retry_after >= seconds(3));
+	CHECK(rejected.rejections[0].retry_after <= seconds(5));
+	CHECK(harness.dispatcher.Queue().Size() == 0);
 	// A call that arrives shortly before that time waits and is then sent.
-	world.now += seconds(3) - milliseconds(30);
-	CHECK(world.Ask().rejections.empty());
-	CHECK(world.dispatcher.Queue().Size() == 1);
-	world.now += milliseconds(31);
-	CHECK(world.dispatcher.OnTick(world.now).sends.size() == 1);
+	harness.now += seconds(3) - milliseconds(30);
+	CHECK(harness.SubmitCall().rejections.empty());
+	CHECK(harness.dispatcher.Queue().Size() == 1);
+	harness.now += milliseconds(31);
+	CHECK(harness.dispatcher.OnTick(harness.now).sends.size() == 1);
 }
 
 TEST_CASE("Limit - calls rejected together get different retry times, none before the limit allows one")
 {
-	LimitWorld world;
-	world.dispatcher.Targets().MarkDraining(world.targets[2]);
-	for (int i = 0; i < 2; i++) world.Limit(world.targets[i], 0.5, 1);
-	for (int i = 0; i < 2; i++) CHECK(world.Ask().sends.size() == 1);
-	std::set<Duration> told;
+	LimitHarness harness;
+	harness.dispatcher.Targets().MarkDraining(harness.targets[2]);
+	for (int i = 0; i < 2; i++) harness.Limit(harness.targets[i], 0.5, 1);
+	for (int i = 0; i < 2; i++) CHECK(harness.SubmitCall().sends.size() == 1);
+	std::set<Duration> retry_times;
 	for (int i = 0; i < 100; i++) {
-		Decisions decisions = world.Ask();
+		Decisions decisions = harness.SubmitCall();
 		REQUIRE(decisions.rejections.size() == 1);
 		CHECK(decisions.rejections[0].retry_after >= RATE_LIMIT_WINDOW);
-		told.insert(decisions.rejections[0].retry_after);
+		retry_times.insert(decisions.rejections[0].retry_after);
 	}
-	CHECK(told.size() > 50);
+	CHECK(retry_times.size() > 50);
 }
--- a/src/tests/target_pause_test.cpp
+++ b/src/tests/target_pause_test.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 /** A dispatcher with two services. */
-struct PauseWorld {
-	PauseWorld() : dispatcher({}, MakeRouter("headroom", 1))
+struct PauseHarness {
+	PauseHarness() : dispatcher({}, MakeRouter("headroom", 1))
 	{
 		for (const char *name : {"a", "b"}) {
 			this->targets.push_back(this->dispatcher.Targets().Configure(name, "hall", {ModelNumber{0}}, false));
@@ -30,7 +30,7 @@
 	}
 
 	/** Submit a call. @return The decisions. */
-	Decisions Ask()
+	Decisions SubmitCall()
 	{
 		CallSpec call;
 		call.id = CallId{this->next++};
@@ -46,7 +46,7 @@
 	{
 		bool used = false;
 		for (int i = 0; i < 20; i++) {
-			Decisions decisions = this->Ask();
+			Decisions decisions = this->SubmitCall();
 			if (decisions.sends.empty()) continue;
 			used = used || decisions.sends[0].target == target;
 		}
@@ -63,35 +63,35 @@
 
 TEST_CASE("Pause - a paused target gets no calls until the end of its longest pause, and is used again afterwards")
 {
-	PauseWorld world;
-	CHECK(world.IsUsed(world.targets[0]));
-	world.Pause(world.targets[0], seconds(3));
-	CHECK(!world.IsUsed(world.targets[0]));
-	CHECK(world.IsUsed(world.targets[1]));
-	world.now += seconds(1);
-	world.Pause(world.targets[0], milliseconds(500));
-	world.now += milliseconds(1900);
-	CHECK(!world.IsUsed(world.targets[0]));
-	world.now += milliseconds(101);
-	CHECK(world.IsUsed(world.targets[0]));
+	PauseHarness harness;
+	CHECK(harness.IsUsed(harness.targets[0]));
+	harness.Pause(harness.targets[0], seconds(3));
+	CHECK(!harness.IsUsed(harness.targets[0]));
+	CHECK(harness.IsUsed(harness.targets[1]));
+	harness.now += seconds(1);
+	harness.Pause(harness.targets[0], milliseconds(500));
+	harness.now += milliseconds(1900);
+	CHECK(!harness.IsUsed(harness.targets[0]));
+	harness.now += milliseconds(101);
+	CHECK(harness.IsUsed(harness.targets[0]));
 }
 
 TEST_CASE("Pause - a target that rejects calls with a pause is not ejected, and the calls are retried on another target")
 {
-	PauseWorld world;
+	PauseHarness harness;
 	for (int round = 0; round < 6; round++) {
-		Decisions decisions = world.Ask();
+		Decisions decisions = harness.SubmitCall();
 		REQUIRE(decisions.sends.size() == 1);
 		TargetNumber first = decisions.sends[0].target;
-		world.Pause(first, milliseconds(100));
-		Decisions again = world.dispatcher.OnSendEnded(decisions.sends[0].call, SendOutcome::Rejected, world.now);
+		harness.Pause(first, milliseconds(100));
+		Decisions again = harness.dispatcher.OnSendEnded(decisions.sends[0].call, SendOutcome::Rejected, harness.now);
 		REQUIRE(again.sends.size() == 1);
 		CHECK(again.sends[0].target != first);
-		world.dispatcher.OnSendEnded(again.sends[0].call, SendOutcome::Complete, world.now);
-		world.now += milliseconds(200);
+		harness.dispatcher.OnSendEnded(again.sends[0].call, SendOutcome::Complete, harness.now);
+		harness.now += milliseconds(200);
 	}
-	for (TargetNumber target : world.targets) {
-		CHECK(world.dispatcher.Targets().Get(target).ejections == 0);
-		CHECK(world.dispatcher.Targets().Get(target).failures == 0);
+	for (TargetNumber target : harness.targets) {
+		CHECK(harness.dispatcher.Targets().Get(target).ejections == 0);
+		CHECK(harness.dispatcher.Targets().Get(target).failures == 0);
 	}
 }
--- a/src/tests/target_registry_test.cpp
+++ b/src/tests/target_registry_test.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+/** @return The row of target number \a i. */
 TargetRow Row(int i, bool draining = false, uint64_t started_ms = 0)
 {
 	ListedTarget target;
@@ -23,11 +24,13 @@
 	return {target.incarnation.id, target};
 }
 
-TargetRow Gone(int i)
+/** @return The removal of the row of target number \a i. */
+TargetRow RemovedRow(int i)
 {
 	return {"target-" + std::to_string(i), std::nullopt};
 }
 
+/** @return The rows of the first \a count targets. */
 std::vector<TargetRow> Rows(int count)
 {
 	std::vector<TargetRow> rows;
@@ -55,7 +58,7 @@
 				events = registry.OnChanges({Row(0, true)}, now);
 				break;
 			case 2:
-				events = registry.OnChanges({Gone(0)}, now);
+				events = registry.OnChanges({RemovedRow(0)}, now);
 				break;
 			case 3:
 				events = registry.OnFullList(Rows(4), now);
@@ -81,7 +84,7 @@
 	TargetRegistry registry({});
 	TimePoint now{std::chrono::seconds(100)};
 	registry.OnFullList(Rows(9), now);
-	std::vector<TargetEvent> events = registry.OnChanges({Gone(3)}, now + milliseconds(10));
+	std::vector<TargetEvent> events = registry.OnChanges({RemovedRow(3)}, now + milliseconds(10));
 	REQUIRE(events.size() == 1);
 	CHECK(events[0].change == TargetChange::Draining);
 	CHECK(events[0].target.incarnation.id == "target-3");
@@ -110,7 +113,7 @@
 	TimePoint now{std::chrono::seconds(100)};
 	registry.OnFullList(Rows(9), now);
 	registry.OnStoreReconnected(now);
-	CHECK(registry.OnChanges({Gone(3)}, now + milliseconds(5)).empty());
+	CHECK(registry.OnChanges({RemovedRow(3)}, now + milliseconds(5)).empty());
 	CHECK(registry.OnTick(now + milliseconds(1500)).empty());
 	CHECK(registry.OnTick(now + milliseconds(2100)).size() == 1);
 }
@@ -121,7 +124,7 @@
 	TimePoint now{std::chrono::seconds(100)};
 	registry.OnFullList(Rows(9), now);
 	std::vector<TargetRow> gone;
-	for (int i = 0; i < 9; i++) gone.push_back(Gone(i));
+	for (int i = 0; i < 9; i++) gone.push_back(RemovedRow(i));
 	CHECK(registry.OnChanges(gone, now + milliseconds(10)).empty());
 	std::vector<TargetEvent> events = registry.OnTick(now + std::chrono::seconds(3));
 	CHECK(events.size() == 9);
@@ -148,7 +151,7 @@
 	registry.OnFullList({Row(0, false, FIRST), Row(1, false, FIRST)}, now);
 	// After a drain notice and the removal of the row, a new incarnation is usable.
 	registry.OnChanges({Row(0, true, FIRST)}, now);
-	registry.OnChanges({Gone(0)}, now);
+	registry.OnChanges({RemovedRow(0)}, now);
 	std::vector<TargetEvent> events = registry.OnChanges({Row(0, false, SECOND)}, now);
 	REQUIRE(events.size() == 2);
 	CHECK(events[0].change == TargetChange::Terminated);
@@ -187,7 +190,7 @@
 			std::vector<TargetEvent> events;
 			if (step % 5 == 0) events = registry.OnChanges({Row(0, false, ++started_ms)}, now);
 			if (step % 5 == 1) events = registry.OnChanges({Row(0, step % 2 == 0, started_ms)}, now);
-			if (step % 5 == 2) events = registry.OnChanges({Gone(0)}, now);
+			if (step % 5 == 2) events = registry.OnChanges({RemovedRow(0)}, now);
 			if (step % 5 == 3) events = registry.OnFullList({Row(0, false, started_ms)}, now);
 			if (step % 5 == 4) events = registry.OnTick(now);
 			for (const TargetEvent &event : events) {
