--- a/src/decision/byte_budget.h
+++ b/src/decision/byte_budget.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file byte_budget.h How many bytes of one kind a link may carry. */
+/** @file byte_budget.h Token bucket that limits the bytes of one kind of traffic on a link. */
 
 #pragma once
 
@@ -9,30 +9,30 @@
 
 namespace cottonspool {
 
-/** Bytes that may be sent: so many a second, of which some seconds' worth may be saved up. */
+/** Token bucket for bytes: refills at a fixed rate up to the bytes of a given time span. */
 class ByteBudget {
 public:
 	/**
-	 * @param per_second Bytes a second.
-	 * @param saved Longest time for which they are saved up.
+	 * @param per_second Refill rate, in bytes per second.
+	 * @param burst_span Time span whose refill the bucket can hold.
 	 */
-	ByteBudget(double per_second, Duration saved) : per_second(per_second), most(per_second * Seconds(saved)) {}
+	ByteBudget(double per_second, Duration burst_span) : per_second(per_second), capacity(per_second * Seconds(burst_span)) {}
 
-	/** @return Whether \a bytes may be sent now; they are taken off then. */
+	/** @return Whether \a bytes may be sent now; if so they are deducted. */
 	[[nodiscard]] bool Take(double bytes, TimePoint now)
 	{
-		this->left = std::min(this->most, this->left + this->per_second * Seconds(now - this->refilled_at));
+		this->available = std::min(this->capacity, this->available + this->per_second * Seconds(now - this->refilled_at));
 		this->refilled_at = now;
-		if (bytes > this->left) return false;
-		this->left -= bytes;
+		if (bytes > this->available) return false;
+		this->available -= bytes;
 		return true;
 	}
 
 private:
-	double per_second;     ///< Bytes a second.
-	double most;           ///< Most that are saved up.
-	double left = 0;       ///< What may be sent.
-	TimePoint refilled_at; ///< When that was last worked out.
+	double per_second;     ///< Refill rate, in bytes per second.
+	double capacity;       ///< Capacity of the bucket, in bytes.
+	double available = 0;  ///< Bytes that may be sent now.
+	TimePoint refilled_at; ///< Time of the last refill.
 };
 
 } // namespace cottonspool
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file dispatcher.cpp The decisions about calls. */
+/** @file dispatcher.cpp Admission, dispatch, retries and rejections of calls. */
 
 #include "decision/dispatcher.h"
 #include "core/hash_func.h"
@@ -9,18 +9,18 @@
 
 namespace cottonspool {
 
-static constexpr Duration RATE_WINDOW = std::chrono::seconds(1); ///< Window over which the dispatch rate is measured.
-static constexpr double RATE_SMOOTHING = 0.3;                    ///< Weight of the newest window.
-static constexpr Duration SLOW_CHECK = std::chrono::seconds(1);  ///< Time between looks for slow targets.
-static constexpr size_t MAX_ACCOUNT_BUDGETS = 4096;              ///< Account budgets remembered; all are dropped beyond.
+static constexpr Duration RATE_WINDOW = std::chrono::seconds(1);         ///< Window over which the dispatch rate is measured.
+static constexpr double RATE_SMOOTHING = 0.3;                            ///< Weight of the newest window in the dispatch rate.
+static constexpr Duration SLOW_CHECK_INTERVAL = std::chrono::seconds(1); ///< Interval of the check for slow targets.
+static constexpr size_t MAX_ACCOUNT_BUDGETS = 4096;                      ///< Number of account budgets above which all are dropped.
 
-/** Pressure by which an engine in another hall must be better for a move: a copy there takes twice as long, and others wait behind it. */
+/** Pressure advantage that an engine in another hall needs to be the target of a migration, as copies between halls are slower. */
 static constexpr double MIGRATION_OTHER_HALL_PENALTY = 0.5;
 
-/** Time between tokens that is assumed while none was measured, in seconds; from the operators' sheets (7 ms a step and more). */
+/** Time between tokens assumed for a target without measurements, in seconds. */
 static constexpr double DEFAULT_TOKEN_INTERVAL = 0.01;
 
-/** Engine priority of each class: what is smallest is preempted first. */
+/** Base of the priority that is passed to the engine, by class; the engine preempts the smallest first. */
 static constexpr std::array<int, SERVICE_CLASS_COUNT> CLASS_PRIORITY{200, 100, 0};
 
 Dispatcher::Dispatcher(DispatchLimits limits, std::unique_ptr<Router> router)
@@ -44,24 +44,24 @@
 	return false;
 }
 
-Duration Dispatcher::Drain(const CallSpec &call) const
+Duration Dispatcher::QueueDelay(const CallSpec &call) const
 {
-	return this->rate <= 0 ? Duration(0) : FromSeconds(this->queue.TokensAhead(call) / this->rate);
+	return this->dispatch_rate <= 0 ? Duration(0) : FromSeconds(this->queue.TokensAhead(call) / this->dispatch_rate);
 }
 
 Duration Dispatcher::RetryAfter(const CallSpec &call, TimePoint now) const
 {
-	auto refused = this->overloads.find(call.model.value);
-	Duration drain = this->Drain(call);
+	auto overload = this->overloads.find(call.model.value);
+	Duration queue_delay = this->QueueDelay(call);
 	uint64_t random = HashText("retry-after", call.id.value);
-	// Nothing helps a request under which targets end but that what they run is mended.
+	// A retry only makes sense once the quarantine is over.
 	if (this->IsQuarantined(call, now))
 		return std::min<Duration>(this->quarantine.RemainingTime(call.fingerprint, now), this->limits.retry_after_max);
-	Duration wait = refused == this->overloads.end() ? drain : refused->second.RetryAfter(drain, random, now);
+	Duration wait = overload == this->overloads.end() ? queue_delay : overload->second.RetryAfter(queue_delay, random, now);
 	return std::clamp(wait, this->limits.retry_after_min, this->limits.retry_after_max);
 }
 
-/** @return Whether a call given up for \a reason was refused for want of room: one that comes back at once meets the same load. */
+/** @return Whether \a reason means that there was not enough capacity. */
 static bool IsOverload(RejectReason reason)
 {
 	return reason == RejectReason::DeadlinePassed || reason == RejectReason::WaitTooLong || reason == RejectReason::QueueFull;
@@ -75,13 +75,12 @@
 	this->calls.erase(call.id);
 }
 
-/** @return When a caller should come back who is refused since no target may get the request for \a wait: spread by \a random, so that
- *          those who were refused together don't all come at the moment when the first target is free again. */
+/** @return Retry-After for a call that no target may get for \a wait, with jitter from \a random so that callers don't return together. */
 static Duration RetryAfterRestriction(Duration wait, uint64_t random)
 {
-	static constexpr Duration LEAST_SPREAD = std::chrono::milliseconds(300);
+	static constexpr Duration MIN_SPREAD = std::chrono::milliseconds(300);
 	static constexpr uint64_t STEPS = 1000;
-	Duration spread = LEAST_SPREAD + wait / 4;
+	Duration spread = MIN_SPREAD + wait / 4;
 	return wait + spread * static_cast<int64_t>(random % STEPS) / static_cast<int64_t>(STEPS);
 }
 
@@ -91,7 +90,7 @@
 	TimePoint free_at = this->targets.FreeAt(call, now, &counts);
 	if (free_at <= std::max(now, call.deadline)) return false;
 	this->counters.rejected[static_cast<size_t>(RejectReason::AllRestricted)]++;
-	// Where time alone brings none, what is told is what helps for want of room.
+	// If no restriction expires by itself, the Retry-After for overload is used.
 	bool known = free_at != TimePoint::max();
 	Duration wait = known ? RetryAfterRestriction(free_at - now, HashText("bound", call.id.value)) : this->RetryAfter(call, now);
 	wait = std::clamp(wait, this->limits.retry_after_min, this->limits.retry_after_max);
@@ -114,8 +113,8 @@
 		this->Reject(call, RejectReason::NoTarget, now, decisions);
 		return decisions;
 	}
-	Duration drain = this->Drain(call);
-	if (this->limits.refuse_early && drain > Duration(0) && now + drain > call.deadline) {
+	Duration queue_delay = this->QueueDelay(call);
+	if (this->limits.refuse_early && queue_delay > Duration(0) && now + queue_delay > call.deadline) {
 		this->Reject(call, RejectReason::WaitTooLong, now, decisions);
 		return decisions;
 	}
@@ -123,7 +122,7 @@
 		this->Reject(call, RejectReason::QueueFull, now, decisions);
 		return decisions;
 	}
-	this->Drain(now, decisions);
+	this->DispatchWaiting(now, decisions);
 	auto waiting = this->calls.find(call.id);
 	if (waiting != this->calls.end() && !waiting->second.holder) this->RejectIfRestricted(call, now, decisions);
 	return decisions;
@@ -145,7 +144,7 @@
 {
 	Decisions decisions;
 	this->RejectWaiting(RejectReason::NoTarget, now, decisions, [this](const CallSpec &call) { return !this->HasEligibleTarget(call); });
-	this->Drain(now, decisions);
+	this->DispatchWaiting(now, decisions);
 	std::vector<CallSpec> waiting;
 	for (const auto &[id, tracked] : this->calls) {
 		if (!tracked.holder) waiting.push_back(tracked.call);
@@ -177,13 +176,13 @@
 bool Dispatcher::TrySend(const CallSpec &call, TimePoint now, Decisions &decisions)
 {
 	TrackedCall &tracked = this->calls.at(call.id);
-	// Time may have jumped since the last tick, which gives up what is late: a machine that was suspended reads what came in first.
+	// After a suspension of the process, events are handled before the tick that rejects expired calls.
 	if (now < tracked.not_before || now > tracked.call.deadline) return false;
-	// Its halls may have changed while it waited.
+	// The tracked copy has the current halls, which may have changed since the call was queued.
 	std::optional<TargetNumber> target = this->router->Choose(tracked.call, this->targets, now);
 	if (!target) return false;
 	tracked.holder = target;
-	tracked.charged = this->ExpectedTokens(call);
+	tracked.charged_tokens = this->ExpectedTokens(call);
 	if (tracked.attempts++ > 0) {
 		this->counters.retries++;
 	} else if (RetryBudget *pool = this->PoolBudget(call.model)) {
@@ -196,12 +195,12 @@
 	this->target_budgets.try_emplace(target->value, this->limits.retry).first->second.OnFirstAttempt();
 	if (this->account_budgets.size() > MAX_ACCOUNT_BUDGETS) this->account_budgets.clear();
 	this->account_budgets.try_emplace(call.account.value, this->limits.retry).first->second.OnFirstAttempt();
-	this->rate_tokens += tracked.charged;
+	this->window_tokens += tracked.charged_tokens;
 	decisions.sends.push_back({call.id, *target, CLASS_PRIORITY[static_cast<size_t>(call.service_class)] + call.priority});
 	return true;
 }
 
-void Dispatcher::Drain(TimePoint now, Decisions &decisions)
+void Dispatcher::DispatchWaiting(TimePoint now, Decisions &decisions)
 {
 	auto visit = [&](const CallSpec &call) { return this->TrySend(call, now, decisions); };
 	while (this->queue.ForEachHead(this->limits.max_heads_tried, visit) > 0) {}
@@ -218,20 +217,20 @@
 {
 	CallSpec &call = tracked.call;
 	if (call.response_deadline == TimePoint::max()) return call.deadline;
-	// A call that was sent has been offered: its wait for another target begins anew, within its time.
+	// Each attempt gets the full wait limit again, up to the time at which the answer is due.
 	call.deadline = std::min(call.response_deadline, now + (call.deadline - call.arrived));
 	call.arrived = now;
 	call.overcommit_from = now;
 	return call.response_deadline;
 }
 
-/** @return What the instance \a own may save up where there is \a share for each, which is less than one: nobody can use a part of one. */
+/** @return Retry burst, 0 or 1, of the instance \a own if the \a share per instance is less than one: a hash of the name decides. */
 static double DrawRetryBurst(double share, std::string_view own)
 {
-	static constexpr double WIN_MARGIN = 0.1; // Of as many lots now and then more win than should.
+	static constexpr double WIN_MARGIN = 0.1; // Lowers the chance, as by accident more instances than intended can win.
 	static constexpr uint64_t LOT_COUNT = 1U << 20;
-	double lot = static_cast<double>(HashText(own) % LOT_COUNT) / static_cast<double>(LOT_COUNT);
-	return lot < share * (1 - WIN_MARGIN) ? 1 : 0;
+	double draw = static_cast<double>(HashText(own) % LOT_COUNT) / static_cast<double>(LOT_COUNT);
+	return draw < share * (1 - WIN_MARGIN) ? 1 : 0;
 }
 
 void Dispatcher::SetRetryShare(double slack, size_t instances, std::string_view own)
@@ -304,7 +303,7 @@
 	this->queue.PushFront(tracked.call, this->ExpectedTokens(tracked.call));
 }
 
-/** @return How the target behaved whose send ended with \a end. */
+/** @return The behaviour of the target that the outcome \a end implies. */
 static SendResult SendResultOf(SendOutcome end)
 {
 	if (end == SendOutcome::Complete || end == SendOutcome::CallerDisconnected) return SendResult::Answered;
@@ -322,18 +321,18 @@
 	this->in_flight--;
 	if (end == SendOutcome::Complete && tracked.call.generated) this->lengths.Learn(tracked.call, generated);
 	double cost = tracked.call.generated ? tracked.call.prompt_tokens + generated : 1;
-	this->queue.Correct(tracked.call, cost - tracked.charged);
+	this->queue.AdjustCharge(tracked.call, cost - tracked.charged_tokens);
 	bool failed = end == SendOutcome::Lost || end == SendOutcome::Failed;
 	bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected;
-	bool again = not_executed || (failed && tracked.call.repeatable && this->limits.retry_failed);
+	bool may_retry = not_executed || (failed && tracked.call.repeatable && this->limits.retry_failed);
 	if (end == SendOutcome::NotSent) {
 		this->RetryUnreachable(tracked, now, decisions);
-	} else if (again) {
+	} else if (may_retry) {
 		this->RetryCall(tracked, end, now, decisions);
 	} else {
 		this->calls.erase(found);
 	}
-	this->Drain(now, decisions);
+	this->DispatchWaiting(now, decisions);
 	auto waiting = this->calls.find(id);
 	if (waiting != this->calls.end() && !waiting->second.holder) this->RejectIfRestricted(CallSpec(waiting->second.call), now, decisions);
 	return decisions;
@@ -343,31 +342,32 @@
 {
 	Decisions decisions;
 	this->targets.OnReport(target, report, now);
-	this->Drain(now, decisions);
+	this->DispatchWaiting(now, decisions);
 	return decisions;
 }
 
 void Dispatcher::UpdateDispatchRate(double tokens, TimePoint now)
 {
-	if (now - this->rate_since < RATE_WINDOW) return;
-	double measured = tokens / Seconds(now - this->rate_since);
+	if (now - this->window_start < RATE_WINDOW) return;
+	double measured = tokens / Seconds(now - this->window_start);
 	bool saturated = this->queue.Size() > 0;
-	if (saturated) this->rate = this->rate == 0 ? measured : this->rate + RATE_SMOOTHING * (measured - this->rate);
-	if (!saturated) this->rate = std::max(this->rate, measured);
-	this->rate_tokens = 0;
-	this->rate_since = now;
+	if (saturated)
+		this->dispatch_rate = this->dispatch_rate == 0 ? measured : this->dispatch_rate + RATE_SMOOTHING * (measured - this->dispatch_rate);
+	if (!saturated) this->dispatch_rate = std::max(this->dispatch_rate, measured);
+	this->window_tokens = 0;
+	this->window_start = now;
 }
 
 Decisions Dispatcher::OnTick(TimePoint now)
 {
 	Decisions decisions;
 	for (const CallSpec &call : this->queue.TakeExpired(now)) this->Reject(call, RejectReason::DeadlinePassed, now, decisions);
-	if (now - this->slow_checked >= SLOW_CHECK) {
+	if (now - this->last_slow_check >= SLOW_CHECK_INTERVAL) {
 		this->targets.UpdateSlowTargets();
-		this->slow_checked = now;
+		this->last_slow_check = now;
 	}
-	this->Drain(now, decisions);
-	this->UpdateDispatchRate(this->rate_tokens, now);
+	this->DispatchWaiting(now, decisions);
+	this->UpdateDispatchRate(this->window_tokens, now);
 	return decisions;
 }
 
@@ -379,10 +379,10 @@
 	if (this->IsQuarantined(tracked.call, now)) return std::nullopt;
 	CallSpec run = tracked.call;
 	const TargetState &source = this->targets.Get(*tracked.holder);
-	// What the run holds by now is what it needs there from the start.
+	// The new target needs memory for the tokens generated so far as well.
 	auto flight = source.in_flight.find(id);
 	if (flight != source.in_flight.end()) run.prompt_tokens += flight->second.generated;
-	// Memory moves twice as fast inside a data hall: it goes first, whichever hall the caller would prefer.
+	// Copies within a data hall are faster, so the run's own hall is preferred over the caller's preference.
 	for (HallPreference &hall : run.halls) {
 		if (hall.hall == source.hall) std::swap(hall, run.halls.front());
 	}
--- a/src/decision/overload_tracker.cpp
+++ b/src/decision/overload_tracker.cpp
@@ -1,17 +1,16 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file overload_tracker.cpp When callers that are refused should come back. */
+/** @file overload_tracker.cpp Retry-After for calls that are rejected because of overload. */
 
 #include "decision/overload_tracker.h"
 #include <algorithm>
 
 namespace cottonspool {
 
-/** Times the age of the load that a caller is told; see OverloadTracker: longer helps in long loads, and all wait for it after short ones.
- */
+/** Ratio of the Retry-After to the time for which the overload has lasted; see OverloadTracker. */
 static constexpr double AGE_FACTOR = 4;
-static constexpr double SPREAD_MIN = 0.75; ///< Least part of the time that a caller is told, and
-static constexpr double SPREAD_MAX = 1.25; ///< largest.
+static constexpr double SPREAD_MIN = 0.75; ///< Lower bound of the jitter factor.
+static constexpr double SPREAD_MAX = 1.25; ///< Upper bound of the jitter factor.
 
 Duration OverloadTracker::RetryAfter(Duration drain, uint64_t random, TimePoint now) const
 {
--- a/src/decision/target_health.cpp
+++ b/src/decision/target_health.cpp
@@ -1,14 +1,14 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_health.cpp Which targets are well: those that fail, cannot be reached or are slow. */
+/** @file target_health.cpp Outlier ejection: targets that fail or cannot be reached, and detection of slow ones. */
 
 #include "decision/target_table.h"
 #include <algorithm>
 
 namespace cottonspool {
 
-static constexpr size_t SLOW_MIN_TARGETS = 3; ///< Fewest measured targets from which a median says something.
-static constexpr double INTERVAL_DECAY = 0.1; ///< Part of the way to the median that an idle target's figure goes in a second.
+static constexpr size_t SLOW_MIN_TARGETS = 3; ///< Minimum number of targets with measurements for a median.
+static constexpr double INTERVAL_DECAY = 0.1; ///< Fraction by which an idle target's interval approaches the median per second.
 
 uint32_t TargetTable::OnEnded(TargetNumber number, CallId call, SendResult result, TimePoint now)
 {
@@ -32,37 +32,37 @@
 void TargetTable::OnSent(TargetNumber number, const CallSpec &call, TimePoint now)
 {
 	this->OnPeerCallSent(number, call, now);
-	// Only own calls find out whether it is well again: how those of peers end is not told here, and they would be waited for for ever.
+	// Calls of peers are no probes, as this instance does not learn how they end.
 	TargetState &target = this->targets[number.value];
 	if (target.ejections > 0) target.restrictions.probing = true;
 }
 
 void TargetTable::EjectUnreachable(TargetState &target, TimePoint now)
 {
-	// While a hall is cut off, targets that had answered with failures stood ejected, and all calls went to the one that could
-	// not be reached. One that answers at all serves more, so those come back before this one goes.
-	bool others = false;
+	// A target that answers, even with failures, is better than an unreachable one. So ejected targets that can be reached are
+	// reinstated first; otherwise all calls could go to the unreachable one.
+	bool has_alternative = false;
 	for (ModelNumber model : target.models) {
 		for (TargetNumber number : this->ForModel(model)) {
 			TargetState &other = this->targets[number.value];
 			if (&other == &target || other.restrictions.draining || other.connect_failures >= this->limits.eject_connect_failures) continue;
-			others = true;
+			has_alternative = true;
 			other.failures = other.ejections = 0;
 			other.restrictions.ejected_until = TimePoint{};
 		}
 	}
-	if (others) this->Eject(target, now);
+	if (has_alternative) this->Eject(target, now);
 }
 
 bool TargetTable::MayEject(const TargetState &target, TimePoint now) const
 {
 	for (ModelNumber model : target.models) {
-		const std::vector<TargetNumber> &alike = this->ForModel(model);
-		auto out = std::count_if(alike.begin(), alike.end(), [&](TargetNumber other) {
+		const std::vector<TargetNumber> &same_model = this->ForModel(model);
+		auto unavailable = std::count_if(same_model.begin(), same_model.end(), [&](TargetNumber other) {
 			const TargetState &state = this->Get(other);
 			return &state == &target || now < state.restrictions.ejected_until || state.restrictions.draining;
 		});
-		if (static_cast<size_t>(out) * 2 > alike.size()) return false;
+		if (static_cast<size_t>(unavailable) * 2 > same_model.size()) return false;
 	}
 	return true;
 }
@@ -82,14 +82,14 @@
 			if (this->Get(number).interval > 0) intervals.push_back(this->Get(number).interval);
 		}
 		if (intervals.size() < SLOW_MIN_TARGETS) continue;
-		auto middle = intervals.begin() + static_cast<long>(intervals.size() / 2);
-		std::nth_element(intervals.begin(), middle, intervals.end());
+		auto median = intervals.begin() + static_cast<long>(intervals.size() / 2);
+		std::nth_element(intervals.begin(), median, intervals.end());
 		for (TargetNumber number : numbers) {
 			TargetState &target = this->targets[number.value];
-			target.median_interval = *middle;
-			// Without own calls there the figure ages towards the median, so that a target that was slow is tried again.
-			if (target.in_flight.empty() && target.interval > 0) target.interval += INTERVAL_DECAY * (*middle - target.interval);
-			target.slow = target.interval > this->limits.slow_factor * *middle;
+			target.median_interval = *median;
+			// The interval of an idle target decays towards the median, so that a slow target is tried again.
+			if (target.in_flight.empty() && target.interval > 0) target.interval += INTERVAL_DECAY * (*median - target.interval);
+			target.slow = target.interval > this->limits.slow_factor * *median;
 		}
 	}
 }
--- a/src/decision/target_incarnation.cpp
+++ b/src/decision/target_incarnation.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_incarnation.cpp Names of targets' lives. */
+/** @file target_incarnation.cpp Names of target incarnations. */
 
 #include "decision/target_incarnation.h"
 
--- a/src/decision/target_placement.cpp
+++ b/src/decision/target_placement.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_placement.cpp Which targets may get new work by where they are, whether they are cold, and what they say of themselves. */
+/** @file target_placement.cpp Admission to targets by data hall, cold start, pauses and rate limits. */
 
 #include "decision/placement_table.h"
 #include "decision/target_table.h"
@@ -33,7 +33,7 @@
 	for (TargetNumber number : this->ForModel(call.model)) {
 		AdmissionVerdict verdict = CheckAdmission(this->Get(number), call, now);
 		(*counts)[static_cast<size_t>(verdict.bound)]++;
-		// A probe may end, and a first report may come, at any moment.
+		// A probe can end and a first report can arrive at any time.
 		bool soon = verdict.IsFree() || verdict.bound == Restriction::Probing || verdict.bound == Restriction::Unlisted;
 		free_at = std::min(free_at, soon ? now : verdict.until);
 	}
@@ -43,7 +43,7 @@
 bool TargetTable::OnSignals(TargetNumber target, const TargetSignals &signals, TimePoint asked, TimePoint now)
 {
 	TargetState &state = this->targets[target.value];
-	// A shorter pause that is asked for later takes nothing from a longer one.
+	// A later, shorter pause does not cut a longer one short.
 	state.restrictions.paused_until = std::max(state.restrictions.paused_until, now + signals.pause);
 	return state.restrictions.limit.OnAnswer(signals, asked, now);
 }
--- a/src/decision/target_rate_limit.cpp
+++ b/src/decision/target_rate_limit.cpp
@@ -1,24 +1,24 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_rate_limit.cpp The limit that a target names with its answers. */
+/** @file target_rate_limit.cpp Rate limit that a target advertises in its answers. */
 
 #include "decision/target_rate_limit.h"
 
 namespace cottonspool {
 
-bool TargetRateLimit::OnAnswer(const TargetSignals &signals, TimePoint asked, TimePoint now)
+bool TargetRateLimit::OnAnswer(const TargetSignals &signals, TimePoint requested_at, TimePoint now)
 {
 	if (signals.limit == SignalState::Unreadable) return false;
-	bool names = signals.limit == SignalState::Present;
-	bool loosens = this->named && (!names || signals.limit_per_s > this->per_second);
-	if (loosens && asked <= this->heard) return false;
-	bool changed = names != this->named || (names && signals.limit_per_s != this->per_second);
-	// What was lent by a higher limit is more than the lower one bears.
-	if (names && this->named && signals.limit_per_s < this->per_second) this->leases.DropBorrowed();
-	this->named = names;
-	if (!names) return changed;
+	bool advertises = signals.limit == SignalState::Present;
+	bool raises = this->active && (!advertises || signals.limit_per_s > this->per_second);
+	if (raises && requested_at <= this->reported_at) return false;
+	bool changed = advertises != this->active || (advertises && signals.limit_per_s != this->per_second);
+	// Borrowed shares were computed from the higher limit.
+	if (advertises && this->active && signals.limit_per_s < this->per_second) this->leases.DropBorrowed();
+	this->active = advertises;
+	if (!advertises) return changed;
 	this->per_second = signals.limit_per_s;
-	this->heard = now;
+	this->reported_at = now;
 	return changed;
 }
 
--- a/src/decision/target_table.cpp
+++ b/src/decision/target_table.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_table.cpp What one instance knows of its targets. */
+/** @file target_table.cpp Load accounting and headroom of targets. */
 
 #include "decision/target_table.h"
 #include "core/hash_func.h"
@@ -9,16 +9,16 @@
 
 namespace cottonspool {
 
-static constexpr uint32_t RESIDUAL_REFRESH_TOKENS = 16;               ///< Tokens after which the expected rest of a call is computed anew.
-static constexpr double GROWTH_ON_PREEMPTION = 1.25;                  ///< Factor on the reserved growth after a report with preemptions.
-static constexpr double GROWTH_WITHOUT_PREEMPTION = 0.98;             ///< Factor on the reserved growth after a report without.
-static constexpr double SHARE_ON_PREEMPTION = 0.5;                    ///< Factor on the share factor after a report with preemptions.
-static constexpr double SHARE_WITHOUT_PREEMPTION = 1.03;              ///< Factor on the share factor after a report without.
-static constexpr double INTERVAL_SMOOTHING = 0.05;                    ///< Weight of the newest time between tokens.
-static constexpr double RESIDUAL_SMOOTHING = 0.02;                    ///< Weight of the newest residual.
-static constexpr Duration SENT_PREFIX_TTL = std::chrono::seconds(10); ///< Time for which a prefix sent is believed to be cached.
-static constexpr size_t MAX_SENT_PREFIXES = 64;                       ///< Most of them remembered.
-static constexpr double TURN_FRACTION = 0.5;                          ///< Part of the headroom that goes to one instance in turn.
+static constexpr uint32_t RESIDUAL_REFRESH_TOKENS = 16;   ///< Output tokens between updates of the expected remaining output.
+static constexpr double GROWTH_ON_PREEMPTION = 1.25;      ///< Factor on TargetState::growth after a report with preemptions.
+static constexpr double GROWTH_WITHOUT_PREEMPTION = 0.98; ///< Factor on TargetState::growth after a report without preemptions.
+static constexpr double SHARE_ON_PREEMPTION = 0.5;        ///< Factor on TargetState::share_factor after a report with preemptions.
+static constexpr double SHARE_WITHOUT_PREEMPTION = 1.03;  ///< Factor on TargetState::share_factor after a report without preemptions.
+static constexpr double INTERVAL_SMOOTHING = 0.05;        ///< Weight of the newest sample in the token interval.
+static constexpr double RESIDUAL_SMOOTHING = 0.02;        ///< Weight of the newest sample in the mean remaining output.
+static constexpr Duration SENT_PREFIX_TTL = std::chrono::seconds(10); ///< Time for which the prefix of a sent call is taken for cached.
+static constexpr size_t MAX_SENT_PREFIXES = 64;                       ///< Maximum number of such prefixes per target.
+static constexpr double TURN_FRACTION = 0.5; ///< Fraction of the headroom that goes to a single instance, in rotation.
 
 TargetNumber TargetTable::Configure(std::string_view name, std::string_view hall, const std::vector<ModelNumber> &models, bool engine)
 {
@@ -32,12 +32,12 @@
 	target.hall = hall;
 	target.restrictions.evacuated = this->evacuated_halls.contains(target.hall);
 	target.engine = engine;
-	std::set<ModelNumber> wanted(models.begin(), models.end());
-	bool same = target.restrictions.known && target.models == wanted;
-	target.models = std::move(wanted);
+	std::set<ModelNumber> new_models(models.begin(), models.end());
+	bool unchanged = target.restrictions.known && target.models == new_models;
+	target.models = std::move(new_models);
 	target.restrictions.known = true;
-	// Each configuration names every target again: thousands of them would rebuild the index thousands of times.
-	if (!same) this->RebuildIndex();
+	// A new configuration contains every target again, so the index is rebuilt only for actual changes.
+	if (!unchanged) this->RebuildIndex();
 	return entry->second;
 }
 
@@ -94,14 +94,14 @@
 	target.known_at_report = 0;
 	target.known_calls_at_report = 0;
 	target.sent_since_report = 0;
-	target.copied_since_report = 0;
+	target.backed_up_since_report = 0;
 	TimePoint made_at = now - report.age;
 	for (const auto &[id, flight] : target.in_flight) {
 		if (flight.sent < made_at) {
 			target.known_at_report += flight.call.prompt_tokens + flight.generated;
 			target.known_calls_at_report++;
 		} else {
-			target.sent_since_report += this->Need(target, flight.call);
+			target.sent_since_report += this->MemoryNeed(target, flight.call);
 		}
 	}
 	target.reported_prefixes = std::set<uint64_t>(report.prefixes.begin(), report.prefixes.end());
@@ -175,7 +175,7 @@
 	if (found == source.in_flight.end() || from == to) return;
 	InFlightCall flight = std::move(found->second);
 	source.in_flight.erase(found);
-	// How its run would have ended there is not told any more.
+	// The run's outcome will not be seen here, so it no longer counts as a probe.
 	source.restrictions.probing = false;
 	if (flight.generated == 0) this->OnPrefillDone(source, flight, now);
 	double held = flight.call.prompt_tokens + flight.generated;
@@ -208,7 +208,7 @@
 	return generated;
 }
 
-double TargetTable::Need(const TargetState &target, const CallSpec &call) const
+double TargetTable::MemoryNeed(const TargetState &target, const CallSpec &call) const
 {
 	if (!call.generated) return 1;
 	return call.prompt_tokens + target.growth * this->lengths.Residual(call, 0);
@@ -232,7 +232,7 @@
 {
 	double capacity = std::max<double>(1, static_cast<double>(target.report.capacity_tokens));
 	double own = target.known_tokens + target.growth * target.known_residual;
-	return (own + target.copied_since_report + this->OthersCommitted(target, now)) / capacity;
+	return (own + target.backed_up_since_report + this->OthersCommitted(target, now)) / capacity;
 }
 
 bool TargetTable::HasTurn(const TargetState &target) const
@@ -240,7 +240,7 @@
 	return HashText(target.name, target.report.sequence) % this->instances == this->instance_index;
 }
 
-double TargetTable::Allowance(const TargetState &target, const CallSpec &call, TimePoint now) const
+double TargetTable::Headroom(const TargetState &target, const CallSpec &call, TimePoint now) const
 {
 	double capacity = static_cast<double>(target.report.capacity_tokens) * this->limits.fill[static_cast<size_t>(call.service_class)];
 	double own = target.known_tokens + target.growth * target.known_residual;
--- a/src/operator/operator.cpp
+++ b/src/operator/operator.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file operator.cpp The operators' verbs of the command line. */
+/** @file operator.cpp Operator commands of the command line. */
 
 #include "configuration/record_type.h"
 #include "operator/explain_log.h"
@@ -20,24 +20,25 @@
 
 using Json = nlohmann::json;
 
-static constexpr long CALL_LIMIT_MS = 30000;                       ///< Longest time of one call.
-static constexpr int MAX_APPLY_ATTEMPTS = 5;                       ///< Most sends of one change; its id makes repeats harmless.
-static constexpr auto POLL_PAUSE = std::chrono::milliseconds(200); ///< Pause between looks while waiting.
+static constexpr long REQUEST_TIMEOUT_MS = 30000; ///< Timeout of one request.
+static constexpr int MAX_APPLY_ATTEMPTS = 5;      ///< Maximum number of attempts to apply a change; its id makes retries idempotent.
+static constexpr auto POLL_INTERVAL = std::chrono::milliseconds(200); ///< Interval between polls and retries.
 
-/** Answer of an instance; status 0 when there was none. */
+/** Answer of an instance. */
 struct Answer {
-	long status = 0;   ///< HTTP status.
-	std::string body;  ///< Body.
-	std::string error; ///< What was wrong, when there was no answer.
+	long status = 0; ///< HTTP status; 0 without an answer.
+	std::string body;
+	std::string error; ///< Error message if there was no answer.
 };
 
+/** Write callback of curl that appends to a string. */
 static size_t AppendBody(char *data, size_t size, size_t count, void *user)
 {
 	static_cast<std::string *>(user)->append(data, size * count);
 	return size * count;
 }
 
-/** Ask one instance. */
+/** Send a request to one instance: a POST with \a body, or a GET if it is null. */
 static Answer SendRequest(const OperatorOptions &options, const std::string &server, const std::string &path, const std::string *body)
 {
 	Answer answer;
@@ -46,7 +47,7 @@
 	curl_easy_setopt(easy, CURLOPT_URL, (server + path).c_str());
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
-	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, CALL_LIMIT_MS);
+	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, REQUEST_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, AppendBody);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, &answer.body);
 	if (body != nullptr) curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body->c_str());
@@ -58,7 +59,7 @@
 	return answer;
 }
 
-/** Ask the first instance that answers. */
+/** Send a GET request to the instances in turn until one answers. */
 static Answer SendToAny(const OperatorOptions &options, const std::string &path)
 {
 	Answer answer;
@@ -70,14 +71,14 @@
 	return answer;
 }
 
-/** Print an error in one line. @return The exit code. */
+/** Print an error message. @return \a code, as the exit code. */
 static int PrintError(const std::string &what, int code = EXIT_FAILED)
 {
 	std::cerr << "cottonspool: " << what << std::endl;
 	return code;
 }
 
-/** @return What an answer says went wrong. */
+/** @return The error message in \a answer. */
 static std::string DescribeFailure(const Answer &answer)
 {
 	if (answer.status == 0) return answer.error;
@@ -87,7 +88,7 @@
 	return error.is_string() ? error.get<std::string>() : error.value("message", "status " + std::to_string(answer.status));
 }
 
-/** Read a change from \a file, filling in an id. */
+/** Read a change from \a file and generate an id if it has none. */
 static Result<Change> ReadChangeFile(const std::string &file)
 {
 	std::ifstream in(file);
@@ -103,7 +104,7 @@
 	return change;
 }
 
-/** Run the policy in \a record on sample input and print what it would decide. */
+/** Run the policy in \a record on sample input and print its decisions. */
 static Result<void> TestPolicy(const RecordChange &record)
 {
 	PolicyEngine engine({});
@@ -114,7 +115,7 @@
 	return outcome::success();
 }
 
-/** Check the schema of every record, and try the policies. */
+/** Check the schema of every record and test the policies. */
 static Result<void> CheckRecords(const Change &change)
 {
 	for (const RecordChange &record : change.records) {
@@ -132,12 +133,12 @@
 	if (!change) return PrintError(FormatError(change.error()));
 	Result<void> checked = CheckRecords(change.value());
 	if (!checked) return PrintError(FormatError(checked.error()));
-	std::cout << file << ": " << change.value().records.size() << " records, as far as can be told without the instances all right"
+	std::cout << file << ": " << change.value().records.size() << " records are valid, as far as can be checked without the instances"
 	          << std::endl;
 	return EXIT_OK;
 }
 
-/** @return The names of the instances that \a options name, or that these see, where \a sequence is not in force yet. */
+/** @return The names of the instances in \a options, and of their members, that have not applied \a sequence yet. */
 static std::set<std::string> InstancesBehind(const OperatorOptions &options, uint64_t sequence)
 {
 	std::set<std::string> behind;
@@ -155,23 +156,23 @@
 	return behind;
 }
 
-/** Wait until \a sequence is in force at every instance. @return Whether it came to that. */
+/** Wait until all instances have applied \a sequence. @return False if the wait limit expired. */
 static bool WaitUntilInForce(const OperatorOptions &options, uint64_t sequence)
 {
 	auto end = std::chrono::steady_clock::now() + options.wait;
 	std::set<std::string> behind = InstancesBehind(options, sequence);
 	while (!behind.empty() && std::chrono::steady_clock::now() < end) {
-		std::this_thread::sleep_for(POLL_PAUSE);
+		std::this_thread::sleep_for(POLL_INTERVAL);
 		behind = InstancesBehind(options, sequence);
 	}
 	if (behind.empty()) return true;
 	std::string names;
 	for (const std::string &name : behind) names += " " + name;
-	PrintError("sequence " + std::to_string(sequence) + " is accepted but not yet seen in force at:" + names);
+	PrintError("sequence " + std::to_string(sequence) + " was accepted but is not confirmed as applied by:" + names);
 	return false;
 }
 
-/** Send \a change until there is a clear answer. */
+/** Apply \a change, retrying until the outcome is known. @return The exit code. */
 static int SendChange(const OperatorOptions &options, Change change)
 {
 	if (change.base == 0) {
@@ -180,32 +181,32 @@
 		change.base = Json::parse(status.body, nullptr, false).value("sequence", 0ULL);
 	}
 	std::string body = FormatChange(change);
-	bool doubtful = false;
+	bool outcome_unknown = false;
 	std::string last = "no --server given";
 	for (int i = 0; i < MAX_APPLY_ATTEMPTS && !options.servers.empty(); i++) {
 		Answer answer = SendRequest(options, options.servers[static_cast<size_t>(i) % options.servers.size()], "/operator/apply", &body);
-		Json said = Json::parse(answer.body, nullptr, false);
+		Json reply = Json::parse(answer.body, nullptr, false);
 		if (answer.status == 200) {
-			uint64_t sequence = said.value("sequence", 0ULL);
-			std::cout << "accepted as sequence " << sequence << (said.value("repeated", false) ? " (before)" : "") << ", change "
+			uint64_t sequence = reply.value("sequence", 0ULL);
+			std::cout << "accepted as sequence " << sequence << (reply.value("repeated", false) ? " (before)" : "") << ", change "
 			          << change.id << std::endl;
 			if (options.wait > Duration{0} && !WaitUntilInForce(options, sequence)) return EXIT_FAILED;
 			return EXIT_OK;
 		}
 		if (answer.status == 409) {
-			const Json &other = said["conflict"];
+			const Json &other = reply["conflict"];
 			return PrintError("conflict: sequence " + std::to_string(other.value("sequence", 0ULL)) + ", change " +
 			                          other.value("change", "") + " by " + other.value("author", "") +
-			                          " touched the same records after your base " + std::to_string(change.base),
+			                          " modified the same records after your base " + std::to_string(change.base),
 			                  EXIT_CONFLICT);
 		}
 		if (answer.status >= 400 && answer.status < 500) return PrintError(DescribeFailure(answer));
-		doubtful = doubtful || answer.status != 503;
+		outcome_unknown = outcome_unknown || answer.status != 503;
 		last = DescribeFailure(answer);
-		std::this_thread::sleep_for(POLL_PAUSE);
+		std::this_thread::sleep_for(POLL_INTERVAL);
 	}
-	if (!doubtful) return PrintError("not accepted: " + last);
-	return PrintError("it is not known whether the change was accepted; repeat with id = \"" + change.id + "\": " + last, EXIT_UNKNOWN);
+	if (!outcome_unknown) return PrintError("not accepted: " + last);
+	return PrintError("outcome unknown: the change may have been accepted; retry with id = \"" + change.id + "\": " + last, EXIT_UNKNOWN);
 }
 
 int RunApply(const OperatorOptions &options, const std::string &file)
@@ -223,7 +224,7 @@
 	return EXIT_OK;
 }
 
-/** Print one instance's state as a table. */
+/** Print the state of one instance and its targets; \a head is the newest known sequence. */
 static void PrintStatus(const Json &status, uint64_t head)
 {
 	uint64_t sequence = status.value("sequence", 0ULL);
@@ -262,7 +263,7 @@
 	return code;
 }
 
-/** @return Calls in flight at \a target over all instances asked, or -1 when one does not answer. */
+/** @return Number of calls in flight at \a target from all given instances, or -1 if one does not answer. */
 static int64_t InFlightAt(const OperatorOptions &options, const std::string &target)
 {
 	int64_t in_flight = 0;
@@ -281,7 +282,7 @@
 	Answer shown = SendToAny(options, "/operator/show?kind=target&name=" + target);
 	Json records = Json::parse(shown.body, nullptr, false);
 	if (shown.status != 200) return PrintError(DescribeFailure(shown));
-	if (!records.is_object() || !records.contains(target)) return PrintError("there is no target " + target);
+	if (!records.is_object() || !records.contains(target)) return PrintError("no such target: " + target);
 	Json content = records[target]["content"];
 	content["wish"] = back ? "live" : "leaving";
 	Change change;
@@ -296,7 +297,7 @@
 	auto end = std::chrono::steady_clock::now() + options.wait;
 	int64_t in_flight = InFlightAt(options, target);
 	while (in_flight != 0 && std::chrono::steady_clock::now() < end) {
-		std::this_thread::sleep_for(POLL_PAUSE);
+		std::this_thread::sleep_for(POLL_INTERVAL);
 		in_flight = InFlightAt(options, target);
 	}
 	if (in_flight != 0) return PrintError(target + " still has calls in flight: " + std::to_string(in_flight));
@@ -306,14 +307,14 @@
 
 int RunExplainLogs(const std::string &request, const std::vector<std::string> &logs)
 {
-	RequestTrace story(request);
+	RequestTrace trace(request);
 	for (const std::string &path : logs) {
 		std::ifstream file(path);
-		if (path != "-" && !file) return PrintError(path + " cannot be read");
-		story.Add(path == "-" ? std::cin : file);
+		if (path != "-" && !file) return PrintError(path + ": cannot be read");
+		trace.Add(path == "-" ? std::cin : file);
 	}
-	if (!story.IsKnown()) return PrintError("no line tells of " + request);
-	std::cout << story.Text();
+	if (!trace.IsKnown()) return PrintError("request not found in the logs: " + request);
+	std::cout << trace.Text();
 	return EXIT_OK;
 }
 
@@ -327,7 +328,7 @@
 		}
 		return EXIT_OK;
 	}
-	return PrintError("no instance asked remembers " + request);
+	return PrintError("request not found on the given instances: " + request);
 }
 
 } // namespace cottonspool
--- a/src/tests/dispatcher_test.cpp
+++ b/src/tests/dispatcher_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file dispatcher_test.cpp What the decisions about calls always keep, under any order of events. */
+/** @file dispatcher_test.cpp Guards against dispatch decisions that break an invariant: duplicate runs, lost calls, too many retries. */
 
 #include "decision/dispatcher.h"
 #include <algorithm>
@@ -14,20 +14,21 @@
 
 namespace {
 
-/** What the shell knows of one call. */
+/** State of one call as seen by the caller of the dispatcher. */
 struct TrackedCall {
-	CallSpec spec;                      ///< The call.
-	std::optional<TargetNumber> holder; ///< Target that has it.
-	bool over = false;                  ///< Ended, given up or withdrawn.
-	bool in_doubt = false;              ///< A send ended in doubt.
-	int sends = 0;                      ///< Sends that count as attempts.
-	std::set<uint32_t> failed_at;       ///< Targets at which a send ended badly.
+	CallSpec spec;
+	std::optional<TargetNumber> holder; ///< Target to which it was sent.
+	bool finished = false;              ///< Whether it has finished or was rejected.
+	bool outcome_unknown = false;       ///< Whether an attempt ended with an unknown outcome.
+	int sends = 0;                      ///< Number of attempts.
+	std::set<uint32_t> failed_at;       ///< Targets at which an attempt failed.
 };
 
-/** A dispatcher under random events, with a shell that checks every decision. */
-class DispatcherWorld {
+/** Feeds random events to a dispatcher and checks every decision. */
+class DispatcherHarness {
 public:
-	explicit DispatcherWorld(uint32_t seed, const char *router = "headroom") : random(seed), dispatcher(Limits(), MakeRouter(router, seed))
+	explicit DispatcherHarness(uint32_t seed, const char *router = "headroom")
+	    : random(seed), dispatcher(Limits(), MakeRouter(router, seed))
 	{
 		this->dispatcher.Targets().SetInstances(0, 2);
 		for (int i = 0; i < 3; i++) {
@@ -44,7 +45,7 @@
 		return limits;
 	}
 
-	/** One random event. */
+	/** Generate one random event. */
 	void Step()
 	{
 		this->now += milliseconds(this->random() % 40);
@@ -60,28 +61,28 @@
 		case 5:
 			return this->End();
 		case 6:
-			return this->Leave();
+			return this->ToggleDraining();
 		case 7:
-			return this->Say();
+			return this->SendSignals();
 		default:
-			return this->Take(this->dispatcher.OnTick(this->now));
+			return this->Apply(this->dispatcher.OnTick(this->now));
 		}
 	}
 
-	/** Let all that is in flight end well, and time pass beyond every deadline. */
+	/** Complete all calls in flight, let all deadlines pass, and check that nothing is left. */
 	void Finish()
 	{
 		for (int i = 0; i < 200; i++) {
 			this->now += milliseconds(200);
 			this->End(SendOutcome::Complete);
-			this->Take(this->dispatcher.OnTick(this->now));
+			this->Apply(this->dispatcher.OnTick(this->now));
 		}
-		for (const TrackedCall &call : this->calls) RC_ASSERT(call.over);
+		for (const TrackedCall &call : this->calls) RC_ASSERT(call.finished);
 		RC_ASSERT(this->dispatcher.Queue().Size() == 0U);
 		RC_ASSERT(this->dispatcher.InFlight() == 0U);
 	}
 
-	std::string trace; ///< Every decision, to compare runs.
+	std::string trace; ///< All decisions, to compare runs.
 
 private:
 	void Submit()
@@ -95,7 +96,7 @@
 		call.spec.arrived = this->now;
 		call.spec.deadline = this->now + milliseconds(this->random() % 3000);
 		this->calls.push_back(call);
-		this->Take(this->dispatcher.Submit(call.spec, this->now));
+		this->Apply(this->dispatcher.Submit(call.spec, this->now));
 	}
 
 	void Report(int target)
@@ -108,7 +109,7 @@
 		report.running = this->random() % 10;
 		report.preemptions = this->reports / 7;
 		report.age = milliseconds(this->random() % 500);
-		this->Take(this->dispatcher.OnReport(this->targets[static_cast<size_t>(target)], report, this->now));
+		this->Apply(this->dispatcher.OnReport(this->targets[static_cast<size_t>(target)], report, this->now));
 	}
 
 	TrackedCall *InFlight()
@@ -134,14 +135,14 @@
 		if (end != SendOutcome::Complete) call->failed_at.insert(call->holder->value);
 		call->holder.reset();
 		bool failed = end == SendOutcome::Lost || end == SendOutcome::Failed;
-		call->in_doubt = call->in_doubt || failed;
+		call->outcome_unknown = call->outcome_unknown || failed;
 		bool not_executed = end == SendOutcome::NotExecuted || end == SendOutcome::Rejected;
 		bool again = not_executed || end == SendOutcome::NotSent || (failed && call->spec.repeatable);
-		call->over = !again;
-		this->Take(this->dispatcher.OnSendEnded(call->spec.id, end, this->now));
+		call->finished = !again;
+		this->Apply(this->dispatcher.OnSendEnded(call->spec.id, end, this->now));
 	}
 
-	void Leave()
+	void ToggleDraining()
 	{
 		if (this->random() % 4 != 0) return;
 		TargetNumber target = this->targets[this->random() % 2];
@@ -150,8 +151,8 @@
 		if (!leaves) this->dispatcher.Targets().ClearDraining(target);
 	}
 
-	/** A target says something of itself: a limit, the end of one, a pause. */
-	void Say()
+	/** Generate random signals of a target: a rate limit, its removal, a pause. */
+	void SendSignals()
 	{
 		if (this->random() % 4 != 0) return;
 		uint32_t target = this->random() % 3;
@@ -162,35 +163,35 @@
 		this->dispatcher.Targets().SetLimitShare(this->targets[target], {this->random() % 4, milliseconds(500)});
 		this->dispatcher.Targets().OnSignals(this->targets[target], signals, this->now, this->now);
 		this->paused_until[target] = std::max(this->paused_until[target], this->now + signals.pause);
-		this->Take(this->dispatcher.OnPlacementChanged(this->now));
+		this->Apply(this->dispatcher.OnPlacementChanged(this->now));
 	}
 
-	void Take(const Decisions &decisions)
+	void Apply(const Decisions &decisions)
 	{
 		for (const SendAction &send : decisions.sends) {
 			TrackedCall &call = this->calls[send.call.value];
 			this->trace += "s" + std::to_string(send.call.value) + ">" + std::to_string(send.target.value) + " ";
-			RC_ASSERT(!call.over);
+			RC_ASSERT(!call.finished);
 			RC_ASSERT(!call.holder.has_value());
-			RC_ASSERT(call.spec.repeatable || !call.in_doubt);
+			RC_ASSERT(call.spec.repeatable || !call.outcome_unknown);
 			RC_ASSERT(!this->dispatcher.Targets().Get(send.target).restrictions.draining);
-			RC_ASSERT(!call.failed_at.contains(send.target.value) || this->NoOtherThan(call));
+			RC_ASSERT(!call.failed_at.contains(send.target.value) || this->HasNoOtherTarget(call));
 			RC_ASSERT(this->now >= this->paused_until[send.target.value]);
 			RC_ASSERT(++call.sends <= 3);
 			call.holder = send.target;
 		}
-		for (const RejectAction &give_up : decisions.rejections) {
-			TrackedCall &call = this->calls[give_up.call.value];
-			this->trace += "g" + std::to_string(give_up.call.value) + " ";
-			RC_ASSERT(!call.over);
+		for (const RejectAction &rejection : decisions.rejections) {
+			TrackedCall &call = this->calls[rejection.call.value];
+			this->trace += "g" + std::to_string(rejection.call.value) + " ";
+			RC_ASSERT(!call.finished);
 			RC_ASSERT(!call.holder.has_value());
-			RC_ASSERT(give_up.retry_after > Duration{0});
-			call.over = true;
+			RC_ASSERT(rejection.retry_after > Duration{0});
+			call.finished = true;
 		}
 	}
 
-	/** @return Whether every target at which \a call has not failed is out of use. */
-	bool NoOtherThan(const TrackedCall &call) const
+	/** @return Whether no target may get \a call other than those at which it failed. */
+	bool HasNoOtherTarget(const TrackedCall &call) const
 	{
 		return std::all_of(this->targets.begin(), this->targets.end(), [&](TargetNumber target) {
 			const TargetState &state = this->dispatcher.Targets().Get(target);
@@ -198,15 +199,16 @@
 		});
 	}
 
-	pcg32 random;                               ///< Chance.
-	Dispatcher dispatcher;                      ///< Under test.
-	std::vector<TargetNumber> targets;          ///< Targets.
-	std::vector<TrackedCall> calls;             ///< Calls.
-	TimePoint now{std::chrono::seconds(1000)};  ///< Clock.
-	uint64_t reports = 0;                       ///< Reports made.
-	std::map<uint32_t, TimePoint> paused_until; ///< Ends of pauses asked for, by target.
+	pcg32 random;
+	Dispatcher dispatcher; ///< Dispatcher under test.
+	std::vector<TargetNumber> targets;
+	std::vector<TrackedCall> calls;             ///< All calls, by id.
+	TimePoint now{std::chrono::seconds(1000)};  ///< Simulated time.
+	uint64_t reports = 0;                       ///< Number of load reports.
+	std::map<uint32_t, TimePoint> paused_until; ///< End of the pause of each target.
 };
 
+/** @return A generation that waits at most 10 s. */
 CallSpec MakeCall(uint64_t id, uint32_t account, TimePoint now)
 {
 	CallSpec call;
@@ -220,12 +222,12 @@
 
 } // namespace
 
-TEST_CASE("Dispatcher - one target at a time, nothing after the end, no doubtful repeat, nothing to who leaves, nothing forgotten")
+TEST_CASE("Dispatcher - one target per call, no retry with unknown outcome unless repeatable, none to draining targets, no lost calls")
 {
 	bool good = rc::check("events", [](uint32_t seed) {
-		DispatcherWorld world(seed);
-		for (int i = 0; i < 400; i++) world.Step();
-		world.Finish();
+		DispatcherHarness harness(seed);
+		for (int i = 0; i < 400; i++) harness.Step();
+		harness.Finish();
 	});
 	CHECK(good);
 }
@@ -233,7 +235,7 @@
 TEST_CASE("Dispatcher - the same events give the same decisions")
 {
 	bool good = rc::check("replay", [](uint32_t seed) {
-		DispatcherWorld first(seed), second(seed);
+		DispatcherHarness first(seed), second(seed);
 		for (int i = 0; i < 200; i++) {
 			first.Step();
 			second.Step();
@@ -243,7 +245,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Dispatcher - retries stay within a tenth of the first sends and the saved burst when every send fails")
+TEST_CASE("Dispatcher - retries stay within the retry budget when every attempt fails")
 {
 	DispatchLimits limits;
 	limits.targets.eject_failures = 1000000;
@@ -271,7 +273,7 @@
 	CHECK(sends <= 2000 + dispatcher.Counters().retries);
 }
 
-TEST_CASE("Queue - a flood of one account does not keep another's call waiting behind it")
+TEST_CASE("Queue - a flood of one account does not delay the calls of another")
 {
 	CallQueue queue({});
 	TimePoint now(std::chrono::seconds(10));
@@ -289,7 +291,7 @@
 	CHECK(before <= 1);
 }
 
-TEST_CASE("Queue - order, sizes and deadlines agree after any pushes, takes and removals")
+TEST_CASE("Queue - size and deadlines stay consistent under any sequence of operations")
 {
 	bool good = rc::check("sizes", [](uint32_t seed) {
 		pcg32 random(seed);
@@ -323,8 +325,8 @@
 	CHECK(good);
 }
 
-TEST_CASE("Targets - instances with one stale report together plan to fill no more than their share factor allows, and after preemptions "
-          "no more than is free")
+TEST_CASE("Targets - instances with the same report together reserve at most the free memory times the share factor, and at most the "
+          "free memory after preemptions")
 {
 	bool good = rc::check("shares", [] {
 		auto instances = *rc::gen::inRange<uint32_t>(2, 42);
@@ -352,7 +354,7 @@
 			factor = targets.Get(number).share_factor;
 			CallSpec call = MakeCall(1, 0, now);
 			free = std::max(0.0, 10000 * 0.97 - static_cast<double>(used));
-			planned += std::max(0.0, targets.Allowance(targets.Get(number), call, now));
+			planned += std::max(0.0, targets.Headroom(targets.Get(number), call, now));
 		}
 		RC_ASSERT(planned <= free * factor + 1);
 		if (preempted) RC_ASSERT(planned <= free + 1);
@@ -360,7 +362,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Lengths - what is learned of an account and of all accounts sets the expected rest")
+TEST_CASE("Lengths - the expected remaining length is learned from the account and from all accounts")
 {
 	LengthEstimate lengths({});
 	CallSpec call = MakeCall(1, 1, TimePoint{});
@@ -377,7 +379,7 @@
 	CHECK(lengths.Residual(call, 20) <= 30);
 }
 
-TEST_CASE("Dispatcher - a run moves inside its hall while an engine there has room, whichever hall its caller prefers")
+TEST_CASE("Dispatcher - a run migrates within its data hall while an engine there has headroom")
 {
 	Dispatcher dispatcher({}, MakeRouter("headroom", 1));
 	TimePoint now{std::chrono::seconds(10)};
@@ -392,7 +394,7 @@
 	REQUIRE(decisions.sends.size() == 1);
 	TargetNumber holder = decisions.sends[0].target;
 	TargetNumber neighbour = holder == targets[0] ? targets[1] : targets[0];
-	// The neighbour holds more than the engine in the other hall, and is still the faster place to copy to.
+	// The neighbour has more load than the engine in the other hall, but the copy to it is faster.
 	CallSpec other = MakeCall(2, 1, now);
 	other.prompt_tokens = 8000;
 	dispatcher.Targets().OnSent(neighbour, other, now);
@@ -402,7 +404,7 @@
 	CHECK(!dispatcher.ChooseMigrationTarget(run.id, {neighbour, targets[2]}, now));
 }
 
-TEST_CASE("Dispatcher - runs that leave an engine are copied one after another, those that hold less first")
+TEST_CASE("Dispatcher - runs that migrate from an engine are copied one after another, the smallest first")
 {
 	Dispatcher dispatcher({}, MakeRouter("headroom", 1));
 	TimePoint now{std::chrono::seconds(10)};
@@ -410,7 +412,7 @@
 	dispatcher.Targets().SetServiceCapacity(engine, 40000);
 	EnginePool pool;
 	pool.bytes_per_token = 20000;
-	pool.link_mbps = 1600; // 10,000 tokens a second.
+	pool.link_mbps = 1600; // 10,000 tokens per second.
 	auto run = [&](uint64_t id, uint32_t prompt, uint32_t most) {
 		CallSpec call = MakeCall(id, 1, now);
 		call.prompt_tokens = prompt;
@@ -421,18 +423,18 @@
 	REQUIRE(dispatcher.Submit(run(2, 3000, 200), now).sends.size() == 1);
 	CallSpec short_run = run(3, 500, 8);
 	REQUIRE(dispatcher.Submit(short_run, now).sends.size() == 1);
-	// A run of another instance counts as well.
+	// A run of another instance is taken into account as well.
 	dispatcher.Targets().OnSent(engine, run(1ULL << 62, 2000, 200), now);
 	Duration least = milliseconds(300);
 	CHECK(dispatcher.MigrationCopyDelay(CallId{1}, pool, least) == Duration(0));
 	CHECK(dispatcher.MigrationCopyDelay(CallId{2}, pool, least) == milliseconds(300));
-	// One that ends before its turn is not waited for; with an unknown link nothing is.
+	// A run that is about to end is not copied; with an unknown bandwidth there is no delay.
 	CHECK(dispatcher.MigrationCopyDelay(CallId{2}, pool, Duration(0)) == milliseconds(350));
 	CHECK(dispatcher.MigrationCopyDelay(CallId{2}, EnginePool{}, least) == Duration(0));
 	CHECK(dispatcher.MigrationCopyDelay(CallId{9}, pool, least) == Duration(0));
 }
 
-TEST_CASE("Dispatcher - instances that share the retries beyond the usual ones make no more together than one alone may")
+TEST_CASE("Dispatcher - instances that share the retry burst together make no more retries than a single one may")
 {
 	for (size_t instances : {1, 8, 78, 200, 400, 2000}) {
 		constexpr double SLACK = 200;
@@ -463,7 +465,7 @@
 	}
 }
 
-TEST_CASE("Dispatcher - without pressing a generation waits for room at an engine, and a plain call still goes to a full service")
+TEST_CASE("Dispatcher - without overcommit a generation waits for headroom, while a service call is sent to a full service")
 {
 	for (bool generated : {true, false}) {
 		Dispatcher dispatcher({}, MakeRouter("headroom", 1, {.use_overcommit = false}));
--- a/src/tests/target_pause_test.cpp
+++ b/src/tests/target_pause_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_pause_test.cpp A target that asks an instance for a pause gets nothing from it until its end, and is no failed one. */
+/** @file target_pause_test.cpp Guards against requests to a target during a pause it asked for, and against its ejection for the pause. */
 
 #include "decision/dispatcher.h"
 #include <doctest/doctest.h>
@@ -11,9 +11,9 @@
 
 namespace {
 
-/** A dispatcher with two services, and the time. */
-struct PauseWorld {
-	PauseWorld() : dispatcher({}, MakeRouter("headroom", 1))
+/** A dispatcher with two services. */
+struct PauseHarness {
+	PauseHarness() : dispatcher({}, MakeRouter("headroom", 1))
 	{
 		for (const char *name : {"a", "b"}) {
 			this->targets.push_back(this->dispatcher.Targets().Configure(name, "hall", {ModelNumber{0}}, false));
@@ -21,7 +21,7 @@
 		}
 	}
 
-	/** \a target turns a request away and asks for \a pause. */
+	/** Let \a target ask for \a pause. */
 	void Pause(TargetNumber target, Duration pause)
 	{
 		TargetSignals signals;
@@ -29,8 +29,8 @@
 		this->dispatcher.Targets().OnSignals(target, signals, this->now, this->now);
 	}
 
-	/** A call comes. @return What is decided. */
-	Decisions Ask()
+	/** Submit a call. @return The decisions. */
+	Decisions SubmitCall()
 	{
 		CallSpec call;
 		call.id = CallId{this->next++};
@@ -41,57 +41,57 @@
 		return this->dispatcher.Submit(call, this->now);
 	}
 
-	/** @return Whether some of many calls that come now go to \a target. */
+	/** @return Whether any of several calls submitted now is sent to \a target. */
 	bool IsUsed(TargetNumber target)
 	{
 		bool used = false;
 		for (int i = 0; i < 20; i++) {
-			Decisions decisions = this->Ask();
+			Decisions decisions = this->SubmitCall();
 			if (decisions.sends.empty()) continue;
 			used = used || decisions.sends[0].target == target;
 		}
 		return used;
 	}
 
-	Dispatcher dispatcher;                ///< Decisions.
-	std::vector<TargetNumber> targets;    ///< Services.
-	uint64_t next = 1;                    ///< Number of the next call.
-	TimePoint now{std::chrono::hours(1)}; ///< Time.
+	Dispatcher dispatcher;                ///< Dispatcher under test.
+	std::vector<TargetNumber> targets;    ///< The services.
+	uint64_t next = 1;                    ///< Id of the next call.
+	TimePoint now{std::chrono::hours(1)}; ///< Simulated time.
 };
 
 } // namespace
 
-TEST_CASE("Pause - until its end nothing goes there, a shorter one takes nothing from a longer one, and then it is used again")
+TEST_CASE("Pause - a paused target gets no calls until the end of its longest pause, and is used again afterwards")
 {
-	PauseWorld world;
-	CHECK(world.IsUsed(world.targets[0]));
-	world.Pause(world.targets[0], seconds(3));
-	CHECK(!world.IsUsed(world.targets[0]));
-	CHECK(world.IsUsed(world.targets[1]));
-	world.now += seconds(1);
-	world.Pause(world.targets[0], milliseconds(500));
-	world.now += milliseconds(1900);
-	CHECK(!world.IsUsed(world.targets[0]));
-	world.now += milliseconds(101);
-	CHECK(world.IsUsed(world.targets[0]));
+	PauseHarness harness;
+	CHECK(harness.IsUsed(harness.targets[0]));
+	harness.Pause(harness.targets[0], seconds(3));
+	CHECK(!harness.IsUsed(harness.targets[0]));
+	CHECK(harness.IsUsed(harness.targets[1]));
+	harness.now += seconds(1);
+	harness.Pause(harness.targets[0], milliseconds(500));
+	harness.now += milliseconds(1900);
+	CHECK(!harness.IsUsed(harness.targets[0]));
+	harness.now += milliseconds(101);
+	CHECK(harness.IsUsed(harness.targets[0]));
 }
 
-TEST_CASE("Pause - a target that turns requests away with a pause is not ejected, and its own second try goes elsewhere")
+TEST_CASE("Pause - a target that rejects calls with a pause is not ejected, and the calls are retried on another target")
 {
-	PauseWorld world;
+	PauseHarness harness;
 	for (int round = 0; round < 6; round++) {
-		Decisions decisions = world.Ask();
+		Decisions decisions = harness.SubmitCall();
 		REQUIRE(decisions.sends.size() == 1);
 		TargetNumber first = decisions.sends[0].target;
-		world.Pause(first, milliseconds(100));
-		Decisions again = world.dispatcher.OnSendEnded(decisions.sends[0].call, SendOutcome::Rejected, world.now);
+		harness.Pause(first, milliseconds(100));
+		Decisions again = harness.dispatcher.OnSendEnded(decisions.sends[0].call, SendOutcome::Rejected, harness.now);
 		REQUIRE(again.sends.size() == 1);
 		CHECK(again.sends[0].target != first);
-		world.dispatcher.OnSendEnded(again.sends[0].call, SendOutcome::Complete, world.now);
-		world.now += milliseconds(200);
+		harness.dispatcher.OnSendEnded(again.sends[0].call, SendOutcome::Complete, harness.now);
+		harness.now += milliseconds(200);
 	}
-	for (TargetNumber target : world.targets) {
-		CHECK(world.dispatcher.Targets().Get(target).ejections == 0);
-		CHECK(world.dispatcher.Targets().Get(target).failures == 0);
+	for (TargetNumber target : harness.targets) {
+		CHECK(harness.dispatcher.Targets().Get(target).ejections == 0);
+		CHECK(harness.dispatcher.Targets().Get(target).failures == 0);
 	}
 }
