--- a/src/store/table_sharing.h
+++ b/src/store/table_sharing.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_sharing.h Which instance reads the store's tables for its peers, and when another one takes over. */
+/** @file table_sharing.h Chooses which instance reads the store's tables on behalf of its peers, and when another one takes over. */
 
 #pragma once
 
@@ -10,62 +10,63 @@
 namespace cottonspool {
 
 /**
- * The tables whose reading an instance shares with its peers. The first in a table's order reads it for all; the others take over one
- * after another when they hear nothing. Where news keep to halls the first of each hall come before all others, in an order of the
- * halls, so that one instance reads for all halls, and each hall has one that notices when it doesn't.
+ * The tables that an instance and its peers read for each other. The first instance in a table's reader order polls the store and publishes
+ * updates; the others take over one after another when updates stop. Where updates are published per data hall, the first instance of each
+ * hall precedes all other instances, so that one instance reads for all halls and each hall has one that detects a failed reader.
  */
 class TableSharing {
 public:
 	TableSharing(std::string name, std::string hall) : name(std::move(name)), hall(std::move(hall)) {}
 
-	/** Share the reading of \a watch, which has to outlive this. */
+	/** Add the table of \a watch, which has to outlive this object. */
 	void Share(TableWatch &watch);
 
 	/**
-	 * This instance and its live peers have changed, or may have.
-	 * @param halls Data halls that share the reading; none where news don't keep to halls.
-	 * @param settling This instance has just started and hears nobody yet: it doesn't read for others.
+	 * Update the reader order after a change of the live instances.
+	 * @param readers This instance and its live peers.
+	 * @param halls Data halls that share the tables; empty if updates are not published per hall.
+	 * @param settling This instance has just started and may not have heard from its peers yet, so that it must not read for them.
 	 */
 	void SetReaders(const std::vector<Reader> &readers, const std::vector<std::string> &halls, bool settling);
 
-	/** Take in what the instance \a teller of \a teller_hall tells of a table. */
+	/** Handle an update published by the instance \a teller of \a teller_hall. */
 	void OnNews(const std::string &teller, const std::string &teller_hall, TableNews news, TimePoint now);
 
 	/**
-	 * @param relayed An instance of this hall has passed them on already.
-	 * @return Whether news of tables that an instance of \a teller_hall told are passed on in this instance's hall.
+	 * @param relayed Another instance of this hall has forwarded the updates already.
+	 * @return Whether this instance forwards updates from \a teller_hall within its own hall.
 	 */
 	[[nodiscard]] bool PassesOn(const std::string &teller_hall, bool relayed) const;
 
-	/** @return Whether this instance is the first of its hall that reads one of the tables. */
+	/** @return Whether this instance is the first of its hall in the reader order of any table. */
 	bool ReadsForHall() const;
 
-	/** @return Tables that are wanted whole from other instances. */
+	/** @return Names of the tables whose snapshot has to be requested from other instances. */
 	std::vector<std::string> Wanted() const;
 
-	/** @return What is known here of \a tables, whole; those that are not known are left out. */
+	/** @return Snapshots of those tables of \a asked that are available here. */
 	std::vector<TableNews> Whole(const std::vector<std::string> &asked) const;
 
-	/** @return The version of \a table, if it is known here and can be told whole. */
+	/** @return Version of the snapshot of \a table; nothing if none is available here. */
 	std::optional<StoreVersion> WholeVersion(const std::string &table) const;
 
-	/** Time has passed. */
+	/** Advance all tables; called periodically. */
 	void OnTick(TimePoint now);
 
 private:
-	/** A table whose reading is shared. */
+	/** A table with its reader order. */
 	struct SharedTable {
-		TableWatch *watch;              ///< Follows it.
-		std::vector<std::string> order; ///< Instances in the order in which they read it for the others.
-		std::vector<std::string> halls; ///< Data halls in that order; none where news don't keep to halls.
+		TableWatch *watch;              ///< Follows the table.
+		std::vector<std::string> order; ///< Names of the instances, in reader order.
+		std::vector<std::string> halls; ///< Data halls in reader order; empty if updates are not published per hall.
 	};
 
-	/** @return The place of an instance in the order in which \a table is read for all; 0 reads it. */
+	/** @return Position of an instance in the reader order of \a table; 0 is the reader. */
 	size_t PlaceOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const;
 
 	std::string name;                ///< Name of this instance.
-	std::string hall;                ///< Data hall it stands in.
-	std::vector<SharedTable> tables; ///< Tables.
+	std::string hall;                ///< Data hall of this instance.
+	std::vector<SharedTable> tables; ///< Shared tables.
 };
 
 } // namespace cottonspool
--- a/src/store/table_store_base.h
+++ b/src/store/table_store_base.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_store_base.h A store of versioned rows that can be read whole and followed, as an interface. */
+/** @file table_store_base.h Interface of a store of versioned rows that can be listed and polled for changes. */
 
 #pragma once
 
@@ -14,60 +14,60 @@
 
 namespace cottonspool {
 
-/** One row, or the news that it is gone. */
+/** A row, or the tombstone of a deleted one. */
 struct StoredRow {
-	std::string key;         ///< Key inside the table.
-	std::string value;       ///< Content; empty when deleted.
-	uint64_t version = 0;    ///< Number of the store's version at which it was written, of the era that the page or the news are of.
-	bool deleted = false;    ///< It is gone.
-	bool unreadable = false; ///< Its content could not be decoded.
+	std::string key;         ///< Key within the table.
+	std::string value;       ///< Content; empty if deleted.
+	uint64_t version = 0;    ///< Version number of the last write, within the store epoch of the page or update that holds the row.
+	bool deleted = false;    ///< The row was deleted.
+	bool unreadable = false; ///< The content could not be decoded.
 };
 
-/** A part of a table as of one version of the store, or what has changed since one. */
+/** A page of a table as of one store version, or the changes after a version. */
 struct RowsPage {
 	std::vector<StoredRow> rows; ///< Rows.
-	uint64_t version = 0;        ///< Number of the store's version that the rows are of; the answer tells its era.
-	bool more = false;           ///< Further rows follow behind the last one.
+	uint64_t version = 0;        ///< Version number of the store; its epoch is in RowsAnswer.
+	bool more = false;           ///< Further rows follow the last one.
 };
 
-/** What an instance that reads a table itself tells the others of it. */
+/** Changes or a snapshot of a table, as published by the instance that reads it from the store. */
 struct TableNews {
-	std::string table;           ///< Table.
-	StoreVersion from;           ///< Version after which the rows are.
-	StoreVersion to;             ///< Version up to which they are.
-	bool whole = false;          ///< The rows are the whole table.
-	bool healthy = false;        ///< The store answers the teller.
-	std::vector<StoredRow> rows; ///< Rows; none in a sign of life, and where none of those that changed concerns the receivers.
-	StoreVersion read;           ///< Version of the whole store at which the teller knew the table like this.
+	std::string table;           ///< Name of the table.
+	StoreVersion from;           ///< Table version to which the rows apply.
+	StoreVersion to;             ///< Table version after the rows are applied.
+	bool whole = false;          ///< The rows are a snapshot of the table.
+	bool healthy = false;        ///< The sender can reach the store.
+	std::vector<StoredRow> rows; ///< Rows; empty in a heartbeat, or if no changed row concerns the receivers.
+	StoreVersion read;           ///< Version of the store as a whole at which the sender last read the table.
 };
 
-/** Why the store gave no rows. */
+/** Why a read returned no rows. */
 enum class StoreFailure : uint8_t {
-	NoAnswer,    ///< No connection, or it broke.
-	Refused,     ///< It turned the call away: nothing was done.
-	HistoryGone, ///< Changes since that version are not known, or no longer: read the table again.
-	Malformed,   ///< The answer could not be read.
+	NoAnswer,    ///< The connection failed, or the call timed out.
+	Refused,     ///< The store rejected the call without executing it.
+	HistoryGone, ///< The store has no change history back to the requested version; a snapshot has to be read.
+	Malformed,   ///< The answer could not be decoded.
 };
 
 /** @return The name of \a failure for logs. */
 const char *StoreFailureName(StoreFailure failure);
 
-/** Rows, or why there are none. */
+/** Result of a read. */
 struct RowsAnswer {
-	std::optional<RowsPage> page;                  ///< Rows, if they came.
-	StoreFailure failure = StoreFailure::NoAnswer; ///< Why not, otherwise.
-	std::string cause;                             ///< What went wrong, for logs.
-	uint64_t era = 0;                              ///< Which life of the store answered, as it tells itself; 0 if it does not.
+	std::optional<RowsPage> page;                  ///< Rows; nothing if the read failed.
+	StoreFailure failure = StoreFailure::NoAnswer; ///< Reason of a failure.
+	std::string cause;                             ///< Details of a failure, for logs.
+	uint64_t era = 0;                              ///< Store epoch as reported by the store; 0 if not reported.
 };
 
-/** What became of a write. */
+/** Result of a write. */
 enum class StoreWrite : uint8_t {
-	Done,    ///< It was done.
-	NotDone, ///< Certain: nothing was done.
-	Unknown, ///< It may have been done, or may be done yet.
+	Done,    ///< Executed.
+	NotDone, ///< Certainly not executed.
+	Unknown, ///< Outcome unknown: it may have been executed, or may still be.
 };
 
-/** A store of versioned rows. Each call ends with exactly one call of its \a done function unless it is cancelled. */
+/** A store of versioned rows. The \a done function of each call is called exactly once, unless the call is cancelled. */
 class TableStore {
 public:
 	using RowsDone = std::function<void(RowsAnswer)>;
@@ -75,20 +75,23 @@
 
 	virtual ~TableStore() = default;
 
-	/** Read rows of \a table from the key \a from on. @return A number for Cancel(). */
+	/** Read a page of \a table that starts at the key \a from. @return Call number for Cancel(). */
 	virtual uint64_t ReadRows(const std::string &table, const std::string &from, RowsDone done) = 0;
 
-	/** Read what has changed in \a table after the number \a version; the store waits up to \a wait for a change. @return A number for
-	 * Cancel(). */
+	/**
+	 * Read the changes of \a table after the version number \a version.
+	 * @param wait Longest time for which the store holds the call open until there is a change (long poll).
+	 * @return Call number for Cancel().
+	 */
 	virtual uint64_t ReadChanges(const std::string &table, uint64_t version, Duration wait, RowsDone done) = 0;
 
-	/** Write a row whatever was there. @return A number for Cancel(). */
+	/** Write a row unconditionally. @return Call number for Cancel(). */
 	virtual uint64_t WriteRow(const std::string &table, const std::string &key, const std::string &value, WriteDone done) = 0;
 
-	/** Remove a row whatever it holds. @return A number for Cancel(). */
+	/** Delete a row unconditionally. @return Call number for Cancel(). */
 	virtual uint64_t RemoveRow(const std::string &table, const std::string &key, WriteDone done) = 0;
 
-	/** Give a call up; its connection is closed, since an answer may still come on it. */
+	/** Cancel a call and close its connection, on which an answer may still arrive. */
 	virtual void Cancel(uint64_t call) = 0;
 };
 
--- a/src/store/table_watch.h
+++ b/src/store/table_watch.h
@@ -1,6 +1,7 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_watch.h Follows one table of the store: whole at first, then change by change, whatever becomes of the store. */
+/** @file table_watch.h Keeps a local view of one table of the store: a snapshot first, then changes, across outages and restores of the
+ * store. */
 
 #pragma once
 
@@ -10,64 +11,62 @@
 
 namespace cottonspool {
 
-/** Times of a table watch. */
+/** Timeouts and options of a table watch. */
 struct WatchLimits {
-	Duration wait = std::chrono::seconds(3); ///< Time the store may wait for a change; bounds how long a dead connection goes unnoticed.
-	Duration slack = std::chrono::milliseconds(700); ///< Time beyond it after which a call is given up.
-	Duration patience =
-	        std::chrono::milliseconds(4000); ///< Time without news of it after which the first of those that don't read it does.
-	Duration patience_step = std::chrono::milliseconds(100);  ///< Further time for each one that comes before in the order of readers.
-	Duration patience_most = std::chrono::milliseconds(5000); ///< Longest such time.
-	Duration read_limit =
-	        std::chrono::milliseconds(1000);      ///< Time after which reading a page is given up, at first; doubles with each try.
-	Duration read_most = std::chrono::seconds(4); ///< Longest such time: a slow store must not be asked in vain for ever.
-	Duration gather = std::chrono::milliseconds(
-	        150);      ///< Time after a change before the next is asked for: changes come in bursts, and each call is paid for.
-	bool keep = false; ///< Rows are kept, to be handed to instances that start.
-	bool gaps = false; ///< Rows that others tell are taken in even if earlier ones are missing: what was missed is learned elsewhere.
-	Duration pause_least = std::chrono::milliseconds(150); ///< Pause after a first failure; doubles.
-	Duration pause_most = std::chrono::milliseconds(1200); ///< Longest pause: with it a return is seen well inside the operators' bounds.
+	Duration wait = std::chrono::seconds(3); ///< Long-poll time of a read of changes; also delays the detection of a dead connection.
+	Duration slack = std::chrono::milliseconds(700);          ///< Time allowed for the answer after the long-poll time.
+	Duration patience = std::chrono::milliseconds(4000);      ///< Time without an update after which the second in the reader order reads.
+	Duration patience_step = std::chrono::milliseconds(100);  ///< Added to it for each further position in the reader order.
+	Duration patience_most = std::chrono::milliseconds(5000); ///< Upper limit of that time.
+	Duration read_limit = std::chrono::milliseconds(1000);    ///< Timeout for a page of a snapshot; doubled after each timeout.
+	Duration read_most = std::chrono::seconds(4);             ///< Upper limit of that timeout, so that a slow store can still answer.
+	Duration gather = std::chrono::milliseconds(150);      ///< Delay between a change and the next read: a burst of changes costs one call.
+	bool keep = false;                                     ///< Keep the rows, to serve snapshots to other instances.
+	bool gaps = false;                                     ///< Accept updates from peers even if earlier ones were missed.
+	Duration pause_least = std::chrono::milliseconds(150); ///< Backoff after the first failure; doubled after each further one.
+	Duration pause_most = std::chrono::milliseconds(1200); ///< Longest backoff; limits how late the store's recovery is detected.
 };
 
 /** Why a table watch calls the store. */
 enum class ReadReason : uint8_t {
-	Whole,    ///< The table is read whole: at the start, or since its history is gone.
-	Follow,   ///< This instance follows it, for itself and for its peers.
-	TakeOver, ///< Nobody has told of it for too long: whether the store answers here is found out at once.
-	Behind,   ///< Another instance has told of changes that it could not pass on.
-	CatchUp,  ///< What has changed meanwhile is read once, whoever follows the table.
-	Lost,     ///< The store has stopped answering: whether it is back.
+	Whole,    ///< Snapshot: at the start, or because the change history is not available.
+	Follow,   ///< Regular poll of the instance that reads for its peers.
+	TakeOver, ///< First poll after the reader's updates stopped.
+	Behind,   ///< A peer advertised a version without sending the changes.
+	CatchUp,  ///< One read requested by CatchUp().
+	Lost,     ///< Probe whether the store is available again.
 };
 
 /** @return The name of \a reason for logs. */
 const char *ReadReasonName(ReadReason reason);
 
-/** A table was read of a store that has come back from a copy. */
+/** The store was restored from a backup and counts its versions in another epoch. */
 struct StoreChange {
-	StoreVersion known; ///< What was known of the store before.
-	StoreVersion read;  ///< What the table was read as.
-	bool told = false;  ///< Another instance has read it.
+	StoreVersion known; ///< Last version seen in the former epoch.
+	StoreVersion read;  ///< First version seen in the new epoch.
+	bool told = false;  ///< It was received from a peer rather than read from the store.
 };
 
 /**
- * Follows one table. Of one era of the store, versions only go forward: an older answer than one taken in before is dropped. With another
- * era the table is read whole, whatever the versions are: neither a feed that is not refused nor a number that was known before says
- * that nothing was lost. Which era is in force is what the store answers to a call that began last; what other instances tell of a
- * later one is taken in or read after, and what they tell of a former one is not heard.
+ * Keeps a local view of one table, from the store or from updates of peers.
+ *
+ * Within a store epoch versions only increase; older answers and updates are dropped. After a change of epoch a snapshot is read, since
+ * version numbers of different epochs cannot be compared. The epoch in force is the one that the store reported to the most recently
+ * started call. An update from a peer with a later epoch is applied if it is a snapshot, and otherwise leads to a read; one with an earlier
+ * epoch is ignored.
  */
 class TableWatch {
 public:
-	std::function<void(const std::vector<StoredRow> &, TimePoint)> on_all;     ///< The whole table was read.
-	std::function<void(const std::vector<StoredRow> &, TimePoint)> on_changes; ///< Rows changed.
-	std::function<void(const RowsAnswer &, TimePoint)> on_lost;                ///< The store has stopped answering.
-	std::function<void(Duration, TimePoint)> on_regained;                      ///< It answers again after that time.
-	std::function<void(ReadReason)> on_call;                                   ///< The store is called.
-	std::function<void(StoreVersion read)> on_older;                           ///< A whole read was older than what is known here.
-	/** The store is another one than before: what it lost may be missing from the whole table, which follows at once. */
+	std::function<void(const std::vector<StoredRow> &, TimePoint)> on_all;     ///< A snapshot was taken in.
+	std::function<void(const std::vector<StoredRow> &, TimePoint)> on_changes; ///< Changed rows were taken in.
+	std::function<void(const RowsAnswer &, TimePoint)> on_lost;                ///< The store became unavailable.
+	std::function<void(Duration, TimePoint)> on_regained; ///< The store is available again after an outage of that duration.
+	std::function<void(ReadReason)> on_call;              ///< A call to the store was started.
+	std::function<void(StoreVersion read)> on_older;      ///< A snapshot was older than the local view and was dropped.
+	/** The store epoch changed; a snapshot follows, which may lack rows that were lost in the restore. */
 	std::function<void(const StoreChange &, TimePoint)> on_other_store;
-	std::function<void(const TableNews &)> on_read; ///< This instance has asked the store for all; rows may be none.
-	/** Takes out of the rows that were read those that concern neither this instance nor those for which it reads; given the whole table
-	 *  or changes. */
+	std::function<void(const TableNews &)> on_read; ///< An update to be published to the peers; rows may be empty.
+	/** Removes rows that neither this instance nor those for which it reads need, out of a snapshot (\a whole) or changes. */
 	std::function<void(std::vector<StoredRow> &, bool whole)> select;
 
 	using Clock = std::function<TimePoint()>;
@@ -77,89 +76,89 @@
 	TableWatch(const TableWatch &) = delete;
 	TableWatch &operator=(const TableWatch &) = delete;
 
-	/** Begin to read. */
+	/** Start with a snapshot from the store. */
 	void Start(TimePoint now);
 
-	/** Begin by taking the whole table from another instance; it is read here if none has told it by \a read_at. */
+	/** Start with a snapshot from a peer; it is read from the store if none has arrived by \a read_at. */
 	void StartAmongOthers(TimePoint read_at);
 
-	/** The table is wanted whole once more, from whoever tells it; it is read here if nobody has by \a read_at. */
+	/** Request another snapshot from a peer; it is read from the store if none has arrived by \a read_at. */
 	void Renew(TimePoint read_at);
 
-	/** @return Whether the whole table is wanted from others. */
+	/** @return Whether a snapshot from a peer is needed. */
 	bool IsWanted() const { return this->started && this->wants_whole; }
 
-	/** @return Whether Whole() tells the table. */
+	/** @return Whether Whole() returns a snapshot. */
 	bool CanTellWhole() const { return this->limits.keep && this->known && !this->wants_whole && !this->behind; }
 
-	/** @return The whole table as it is known here, for an instance that starts; nothing while it is not known or not kept. */
+	/** @return A snapshot of the local view, for a peer; nothing if rows are not kept or the view is incomplete. */
 	std::optional<TableNews> Whole() const;
 
-	/** Time has passed; to be called some ten times a second. */
+	/** Check timeouts and start due reads; to be called about ten times per second. */
 	void OnTick(TimePoint now);
 
 	/**
-	 * Leave the reading to another instance as long as its news come at least this often; zero to read all the time. Until
-	 * the table was read whole once, it is always read here.
+	 * Leave polling to another instance as long as its updates are at most \a news_within apart; zero to poll always. The first snapshot is
+	 * read regardless.
 	 */
 	void SetPatience(Duration news_within) { this->patience = news_within; }
 
-	/** Take in what another instance tells of this table. */
+	/** Handle an update of this table from a peer. */
 	void OnNews(const TableNews &news, TimePoint now);
 
-	/** While \a first has lost the store too, leave finding out that it is back to it: one call tells as much as two. */
+	/** While the store is unavailable to \a first too, don't probe it here: one probe per instance is enough. */
 	void WaitForReturnAt(const TableWatch &first) { this->probe = &first; }
 
 	/**
-	 * Read this table where \a leading is read, which changes more often: whoever reads that one for the others reads this one too, with
-	 * waits as long as the store allows, and tells with each of its news how far this one is known. Until then nothing is read.
+	 * Couple this table to \a leading, which changes more often: the instance that reads \a leading for its peers reads this table too,
+	 * with the longest long polls, and publishes its version along with each update of \a leading. No snapshot is read at the start.
 	 */
 	void ReadWith(const TableWatch &leading);
 
-	/** @return How far the table is known here, for the others; nothing while it was not read here. */
+	/** @return An update without rows that advertises the version of the local view; nothing unless the table is being followed. */
 	std::optional<TableNews> SignOfLife() const;
 
-	/** @return Table by whose name the instances that read this one are ordered. */
+	/** @return Name of the table whose reader order applies to this one. */
 	const std::string &OrderedBy() const { return this->lead == nullptr ? this->table : this->lead->table; }
 
-	/** Read what has changed once, whoever reads for all. */
+	/** Read the changes from the store once, even if another instance is the reader. */
 	void CatchUp() { this->catch_up = true; }
 
-	/** @return Times of this watch. */
+	/** @return Timeouts and options. */
 	const WatchLimits &Limits() const { return this->limits; }
 
-	/** @return Whether this instance reads the table itself now. */
+	/** @return Whether this instance reads the table from the store at present, for any reason. */
 	bool ReadsItself(TimePoint now) const;
 
-	/** @return Whether the table was read whole at least once. */
+	/** @return Whether the local view has had a snapshot. */
 	bool IsKnown() const { return this->known; }
 
-	/** @return Whether the last call failed. */
+	/** @return Whether the store is unavailable: the last call failed. */
 	bool IsLost() const { return this->lost; }
 
-	/** @return When the store last confirmed what is known here. */
+	/** @return When the local view was last confirmed to be up to date. */
 	TimePoint ConfirmedAt() const { return this->confirmed; }
 
 	/** @return Version of the store up to which the table is known. */
 	StoreVersion Version() const { return this->version; }
 
-	/** @return Version of the table's last change that is known. */
+	/** @return Version of the last known change of the table. */
 	StoreVersion RowsVersion() const { return this->rows_version; }
 
 	/** @return Name of the table. */
 	const std::string &Table() const { return this->table; }
 
-	/** @return Calls made since the start. */
+	/** @return Number of calls made to the store. */
 	uint64_t Calls() const { return this->calls; }
 
 private:
 	bool ReadsForAll(TimePoint now) const;
 	void FollowLoss(TimePoint now);
-	/** @return The version \a number of the era that \a answer tells; of the one known if it tells none. */
+	/** @return The version \a number in the epoch that \a answer reports, or in the current epoch if it reports none. */
 	StoreVersion VersionOf(const RowsAnswer &answer, uint64_t number) const;
-	/** @return Whether \a seen is of another era than what is known. */
+	/** @return Whether \a seen is of another epoch than the local view. */
 	bool IsOfOtherStore(const StoreVersion &seen) const { return this->version.IsKnown() && seen.era != this->version.era; }
-	/** @return Whether an answer as of \a seen was overtaken: a later era has become known since the call began. */
+	/** @return Whether \a seen is the answer to a call during which a later epoch became known. */
 	bool IsOvertaken(const StoreVersion &seen) const { return seen.era < this->version.era && this->asked.era < this->version.era; }
 	void GiveUpCall();
 	void BeginWholeRead(TimePoint now);
@@ -173,7 +172,7 @@
 	void OnFailure(const RowsAnswer &answer, TimePoint now);
 	void OnAnswered(TimePoint now);
 	void TellRead(StoreVersion from, bool whole, const std::vector<StoredRow> &rows, TimePoint now);
-	/** @return Whether the whole table is to be read here now. */
+	/** @return Whether a snapshot has to be read from the store, as no peer has sent one in time. */
 	bool ReadsWhole(TimePoint now) const { return this->wants_whole && now >= this->whole_at; }
 	void OnWholeKnown(TimePoint now);
 	void Keep(const std::vector<StoredRow> &rows, bool whole);
@@ -182,41 +181,41 @@
 	bool LeavesItToProbe(TimePoint now);
 	void NoteRows(const std::vector<StoredRow> &rows);
 
-	TableStore &store;                     ///< Store.
-	Clock clock;                           ///< Tells the time at which an answer comes.
-	std::string table;                     ///< Table.
-	WatchLimits limits;                    ///< Times.
-	std::vector<StoredRow> pages;          ///< Rows of a read that is under way.
-	std::string next_key;                  ///< Where its next page begins.
-	StoreVersion pages_version;            ///< Version of its first page: changes are read from there.
-	StoreVersion version;                  ///< Version up to which the table is known: the store's, which rises with every table's writes.
-	StoreVersion rows_version;             ///< Version of the table's last change that is known; the same at all who know it.
-	StoreVersion wanted;                   ///< Version that another instance told of, up to which the rest is read here.
-	StoreVersion asked;                    ///< What was known when the call under way began.
-	StoreVersion asked_wanted;             ///< What was wanted then.
-	uint64_t call = 0;                     ///< Call under way; 0 for none.
-	uint64_t calls = 0;                    ///< Calls made.
-	TimePoint call_limit;                  ///< When it is given up.
-	TimePoint not_before;                  ///< Earliest next call.
-	TimePoint confirmed;                   ///< When the store last confirmed what is known.
-	TimePoint lost_since;                  ///< When the first call failed.
-	Duration pause{0};                     ///< Pause after the last failure.
-	Duration read_time{0};                 ///< Time that a page may take now.
-	Duration patience{0};                  ///< Time without news after which it is read here; zero for always.
-	TimePoint news_at;                     ///< When another instance last told that the store answers it.
-	const TableWatch *probe = nullptr;     ///< Watch that finds out for this one that the store is back; null for none.
-	const TableWatch *lead = nullptr;      ///< Watch whose readers read this table too; null for none.
-	bool waits_for_probe = false;          ///< It is left to that one now.
-	bool behind = false;                   ///< Another instance knows more than was told: the rest is read here.
-	bool catch_up = false;                 ///< CatchUp() was called, and no changes were read since.
-	bool started = false;                  ///< Start() was called.
-	bool known = false;                    ///< Read whole once.
-	bool following = false;                ///< Changes are followed; otherwise the table is read whole.
-	bool wants_whole = true;               ///< The whole table is taken from whoever tells it first.
-	TimePoint whole_at;                    ///< When it is read here otherwise.
+	TableStore &store;                 ///< Store.
+	Clock clock;                       ///< Clock, read when an answer arrives.
+	std::string table;                 ///< Name of the table.
+	WatchLimits limits;                ///< Timeouts and options.
+	std::vector<StoredRow> pages;      ///< Rows of the snapshot being read.
+	std::string next_key;              ///< Start key of its next page; empty before the first page.
+	StoreVersion pages_version;        ///< Version of its first page, from which changes are read afterwards.
+	StoreVersion version;              ///< Version of the whole store up to which this table is known; writes to any table increase it.
+	StoreVersion rows_version;         ///< Version of the last known change of this table; equal on all instances that know that change.
+	StoreVersion wanted;               ///< Version that a peer advertised without sending all changes up to it.
+	StoreVersion asked;                ///< Value of version when the current call was started.
+	StoreVersion asked_wanted;         ///< Value of the advertised version when the snapshot read was started.
+	uint64_t call = 0;                 ///< Number of the current call; 0 if there is none.
+	uint64_t calls = 0;                ///< Number of calls made.
+	TimePoint call_limit;              ///< When the current call times out.
+	TimePoint not_before;              ///< Earliest time of the next call.
+	TimePoint confirmed;               ///< When the local view was last confirmed to be up to date.
+	TimePoint lost_since;              ///< When the store became unavailable.
+	Duration pause{0};                 ///< Current backoff; zero after a success.
+	Duration read_time{0};             ///< Current timeout for a page.
+	Duration patience{0};              ///< Time without an update from a peer after which this instance polls; zero to poll always.
+	TimePoint news_at;                 ///< When a peer that can reach the store last sent an update.
+	const TableWatch *probe = nullptr; ///< Watch that probes an unavailable store on behalf of this one; null for none.
+	const TableWatch *lead = nullptr;  ///< Table to which this one is coupled, see ReadWith(); null for none.
+	bool waits_for_probe = false;      ///< Probing is left to the other watch at present.
+	bool behind = false;               ///< A peer advertised changes that have to be read from the store.
+	bool catch_up = false;             ///< A read by CatchUp() is due.
+	bool started = false;              ///< Started.
+	bool known = false;                ///< The local view has had a snapshot.
+	bool following = false;            ///< The next read is one of changes; otherwise a snapshot is read.
+	bool wants_whole = true;           ///< A snapshot is needed, from the first peer that sends one.
+	TimePoint whole_at;                ///< When it is read from the store otherwise.
 	std::map<std::string, StoredRow> kept; ///< Rows by key, if they are kept.
-	bool lost = false;                     ///< The last call failed.
-	std::shared_ptr<bool> alive;           ///< False once this is gone; calls hold it.
+	bool lost = false;                     ///< The store is unavailable.
+	std::shared_ptr<bool> alive;           ///< False after destruction; held by the callbacks of calls.
 };
 
 } // namespace cottonspool
