--- a/src/store/table_sharing.cpp
+++ b/src/store/table_sharing.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_sharing.cpp Which instance reads the store's tables for its peers. */
+/** @file table_sharing.cpp Chooses the instance that reads the store's tables on behalf of its peers. */
 
 #include "store/table_sharing.h"
 #include "core/hash_func.h"
@@ -8,7 +8,7 @@
 
 namespace cottonspool {
 
-/** @return The place of \a name in \a names; their number if it is not there. */
+/** @return Index of \a name in \a names; their number if it is not among them. */
 static size_t IndexOf(const std::vector<std::string> &names, const std::string &name)
 {
 	return static_cast<size_t>(std::find(names.begin(), names.end(), name) - names.begin());
@@ -17,7 +17,7 @@
 size_t TableSharing::PlaceOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const
 {
 	if (table.halls.empty()) return IndexOf(table.order, instance);
-	// Of other halls only those that read for them are heard.
+	// Updates from another hall come only from its first instance, so the order of the halls decides.
 	if (instance_hall != this->hall) return IndexOf(table.halls, instance_hall);
 	size_t in_hall = IndexOf(table.order, instance);
 	return in_hall == 0 ? IndexOf(table.halls, this->hall) : table.halls.size() - 1 + in_hall;
@@ -57,8 +57,8 @@
 {
 	for (SharedTable &each : this->tables) {
 		if (each.watch->Table() != news.table) continue;
-		// One that reads goes on until one before it in the order does: otherwise those that took over would stop each other.
-		// Only its reading of this very table counts: three instances that each were first for one of three tables read all three.
+		// An active reader yields only to updates from an instance before it in the order; otherwise concurrent readers would stop each
+		// other. This is decided per table, as each table has its own order.
 		bool after = this->PlaceOf(each, teller, teller_hall) > this->PlaceOf(each, this->name, this->hall);
 		bool reads = each.watch->ReadsItself(now) && !each.watch->IsLost();
 		news.healthy = news.healthy && !(after && reads);
--- a/src/store/table_watch.cpp
+++ b/src/store/table_watch.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_watch.cpp Follows one table of the store. */
+/** @file table_watch.cpp Keeps a local view of one table of the store. */
 
 #include "store/table_watch.h"
 #include <algorithm>
@@ -49,7 +49,7 @@
 void TableWatch::Start(TimePoint now)
 {
 	this->started = true;
-	// What there is to know is told by whoever reads it; a table without rows costs a start no call.
+	// A coupled table starts without a snapshot: the reader's updates advertise its version, and an empty table then costs no call.
 	this->known = this->lead != nullptr;
 	this->wants_whole = !this->known;
 	if (this->known) return;
@@ -109,17 +109,17 @@
 
 void TableWatch::TellRead(StoreVersion from, bool whole, const std::vector<StoredRow> &rows, TimePoint now)
 {
-	// One that only caught up has nothing to tell: the others have heard it from the one that reads for all.
+	// A read that isn't on behalf of the peers has nothing to publish: they get the same changes from the reader.
 	bool reads_for_all = this->ReadsForAll(now);
 	if (this->on_read && reads_for_all) this->on_read({this->table, from, this->rows_version, whole, true, rows, this->version});
 }
 
 void TableWatch::NoteRows(const std::vector<StoredRow> &rows)
 {
-	// A table without rows is known as of its era.
+	// An empty table has version number 0 of the epoch.
 	this->rows_version = std::max(this->rows_version, StoreVersion{this->version.era, 0});
 	for (const StoredRow &row : rows) this->rows_version = std::max(this->rows_version, StoreVersion{this->version.era, row.version});
-	// What was told of is known now, even if its last change was a removal that a whole read does not show.
+	// The advertised change is covered now, even if it was a deletion, which a snapshot does not show.
 	if (this->wanted <= this->version) this->rows_version = std::max(this->rows_version, this->wanted);
 	this->behind = this->wanted > this->rows_version;
 }
@@ -129,29 +129,30 @@
 	if (news.table != this->table) return;
 	bool first = news.whole && this->wants_whole && this->started;
 	if (!this->known && !first) return;
-	// Whoever tells this has not met the store as it is now: neither its rows nor its sign of life tell anything of it.
+	// The sender still has the state of an earlier epoch, so that neither its rows nor its heartbeat are valid.
 	if (news.to.era < this->version.era) return;
 	if (news.healthy) {
-		// For one that has given the store up, its return is news by itself: rows may have lapsed meanwhile.
-		// One that still has to read what could not be passed on has not regained it: only an own answer tells that.
+		// An up-to-date view makes the store count as available again without a call. If changes are still to be read, only a successful
+		// read of this instance does.
 		bool returns = this->lost && this->call == 0 && !this->behind && news.to <= this->rows_version;
-		// After a silence the store is back for somebody: what could not be passed on is asked for at once, without the rest of a pause.
+		// The first update after an outage shows that the store is available to a peer: end the backoff.
 		if (this->lost && now - this->news_at > this->patience) this->not_before = std::min(this->not_before, now);
 		this->news_at = now;
 		if (returns) this->OnAnswered(now);
 		if (news.to == this->rows_version) this->confirmed = now;
-		// Whoever takes the reading over goes on from there: the store forgets what is long past.
+		// Advance the position for a later takeover, as the store truncates its change history.
 		if (news.to == this->rows_version && news.read.era == this->version.era) this->version = std::max(this->version, news.read);
 	}
 	if (news.to < this->rows_version || (news.to == this->rows_version && !first)) return;
 	bool other = this->IsOfOtherStore(news.to);
-	// A table whose last change has no number has no rows: whoever says so has said all.
+	// Version number 0 means an empty table, so that the update is a snapshot.
 	bool whole = news.whole || news.to.number == 0;
-	// A sign of life that is ahead says that there is more to read; changes that don't concern anybody here are told without rows.
+	// A heartbeat with a newer version only advertises changes. Changes that were filtered out completely come without rows, but span
+	// versions.
 	bool has_changes = !news.rows.empty() || news.from < news.to;
 	bool fits = whole || (has_changes && !other && (this->limits.gaps || news.from <= this->rows_version));
 	if (!fits && this->limits.gaps && !other) return;
-	// What is asked of the former store, or since one of its versions, tells nothing of the one that is there now.
+	// A call that was started in the former epoch has no valid answer in the new one.
 	if (other) this->GiveUpCall();
 	if (!fits) {
 		if (other) this->following = false;
@@ -181,7 +182,7 @@
 
 void TableWatch::OnWholeKnown(TimePoint now)
 {
-	// What was read just now is as good as news: an instance that starts among others leaves the following to them.
+	// The snapshot counts as an update, so that a starting instance waits for the reader's updates before it polls.
 	if (!this->known) this->news_at = now;
 	this->known = true;
 	this->following = true;
@@ -202,7 +203,7 @@
 	if (this->call != 0 && now >= this->call_limit) {
 		this->GiveUpCall();
 		if (!this->following) this->read_time = std::min(this->limits.read_most, 2 * this->read_time);
-		this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "no answer in time"}, now);
+		this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "timed out"}, now);
 	}
 	if (this->call != 0 || !this->ReadsItself(now) || this->LeavesItToProbe(now) || now < this->not_before) return;
 	if (this->following && !this->ReadsWhole(now)) {
@@ -214,10 +215,10 @@
 
 void TableWatch::FollowLoss(TimePoint now)
 {
-	// The wait for a change is long here: that the store is gone is seen sooner where it is asked more often.
+	// Long polls of a coupled table detect an outage late; the leading table, which is polled more often, detects it earlier.
 	if (this->lead == nullptr || !this->lead->IsLost() || this->call == 0 || this->lost) return;
 	this->GiveUpCall();
-	this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "lost where it is asked more often"}, now);
+	this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "reads of the leading table failed"}, now);
 }
 
 bool TableWatch::LeavesItToProbe(TimePoint now)
@@ -266,9 +267,9 @@
 	ReadReason reason = this->ReasonToRead(now);
 	this->NoteCall(reason);
 	this->call_limit = now + this->limits.wait + this->limits.slack;
-	// After a failure the next answer is wanted soon: it tells that the store is back.
-	// One that takes the reading over asks for an answer at once: the others are to hear that it does.
 	this->asked = this->version;
+	// Only a regular poll waits for a change. After a failure or a takeover the answer itself matters: it shows that the store is
+	// available, and lets the peers know that there is a reader again.
 	bool at_once = reason != ReadReason::Follow;
 	Duration wait = at_once ? Duration(0) : this->limits.wait;
 	if (at_once) this->call_limit = now + this->read_time;
@@ -290,7 +291,7 @@
 
 void TableWatch::DropDisproved()
 {
-	// The store itself, asked after that was told, knows of no such era: it would be asked for ever.
+	// The store, called after that version was advertised, doesn't know its epoch: drop it, or it would be requested endlessly.
 	if (this->wanted.era > this->version.era && this->wanted == this->asked_wanted) this->wanted = StoreVersion{};
 }
 
@@ -315,7 +316,7 @@
 	}
 	this->next_key.clear();
 	bool other = this->IsOfOtherStore(this->pages_version);
-	// A replica that lags must not take us back: read again a little later.
+	// A lagging replica of the store must not revert the local view: retry after the backoff.
 	if (!other && this->pages_version < this->version) {
 		if (this->on_older) this->on_older(this->pages_version);
 		return this->OnFailure({std::nullopt, StoreFailure::Malformed, "older than known", answer.era}, now);
@@ -341,7 +342,7 @@
 	TimePoint now = this->clock();
 	this->call = 0;
 	StoreVersion read = this->VersionOf(answer, answer.page ? answer.page->version : 0);
-	// Asked of a former store: whatever came is no answer to what is to be known now.
+	// The call was started in a former epoch, so that its answer is not valid any more.
 	if (this->asked.era < this->version.era && read.era <= this->version.era) return this->GoOn(now);
 	bool other = this->IsOfOtherStore(read);
 	if (other || (!answer.page && answer.failure == StoreFailure::HistoryGone)) return this->BeginWholeRead(now);
--- a/src/store/table_watch.h
+++ b/src/store/table_watch.h
@@ -15,8 +15,8 @@
 struct WatchLimits {
 	Duration wait = std::chrono::seconds(3); ///< Long-poll time of a read of changes; also delays the detection of a dead connection.
 	Duration slack = std::chrono::milliseconds(700);          ///< Time allowed for the answer after the long-poll time.
-	Duration patience = std::chrono::milliseconds(4000);      ///< Time without an update after which the second in the reader order reads.
-	Duration patience_step = std::chrono::milliseconds(100);  ///< Added to it for each further position in the reader order.
+	Duration patience = std::chrono::milliseconds(4000);      ///< Time without an update after which another instance takes over.
+	Duration patience_step = std::chrono::milliseconds(100);  ///< Added to it for each position in the reader order.
 	Duration patience_most = std::chrono::milliseconds(5000); ///< Upper limit of that time.
 	Duration read_limit = std::chrono::milliseconds(1000);    ///< Timeout for a page of a snapshot; doubled after each timeout.
 	Duration read_most = std::chrono::seconds(4);             ///< Upper limit of that timeout, so that a slow store can still answer.
