--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file node_settings.cpp Decodes the platform's settings file. */
+/** @file node_settings.cpp Decodes the node settings file of the platform. */
 
 #include "platform/node_settings.h"
 #include "platform/json_func.h"
@@ -13,12 +13,12 @@
 
 using Json = nlohmann::json;
 
-/** Reads fields of one file and remembers the first fault. */
+/** Reads fields of a settings file and records the first error. */
 class FieldReader {
 public:
 	FieldReader(const Json &root, std::string file) : root(root), file(std::move(file)) {}
 
-	/** @return The text at \a path; a fault when it is missing. */
+	/** @return The string at \a path, which is required. */
 	std::string Text(const char *path)
 	{
 		const Json *value = this->Find(path);
@@ -27,7 +27,7 @@
 		return {};
 	}
 
-	/** @return The address at \a path; a fault when it is missing or misspelt. */
+	/** @return The address at \a path, which is required. */
 	Endpoint Address(const char *path)
 	{
 		std::string text = this->Text(path);
@@ -38,7 +38,7 @@
 		return {};
 	}
 
-	/** @return The number at \a path, or \a otherwise when there is none; a fault when it is out of range. */
+	/** @return The number at \a path, which has to be within the given range; \a otherwise if it is absent or null. */
 	double Number(const char *path, double otherwise, double least, double most)
 	{
 		const Json *value = this->Find(path);
@@ -48,14 +48,14 @@
 		return otherwise;
 	}
 
-	/** @return The value at \a path, or null. */
+	/** @return The value at \a path; null if it is absent. */
 	const Json *Find(const char *path) const
 	{
 		Json::json_pointer pointer(path);
 		return this->root.contains(pointer) ? &this->root.at(pointer) : nullptr;
 	}
 
-	/** @return The first fault, if there was one. */
+	/** @return The first error, if any. */
 	const std::optional<Error> &Fault() const { return this->fault; }
 
 private:
@@ -64,9 +64,9 @@
 		if (!this->fault) this->fault = Error{Step::Settings, this->file, std::string(path) + " " + message};
 	}
 
-	const Json &root;           ///< Whole file.
-	std::string file;           ///< Name of the file, for errors.
-	std::optional<Error> fault; ///< First fault.
+	const Json &root;           ///< Content of the file.
+	std::string file;           ///< Name of the file, for error messages.
+	std::optional<Error> fault; ///< First error.
 };
 
 Result<NodeSettings> ParseNodeSettings(const std::string &text, const std::string &file)
--- a/src/platform/node_settings.h
+++ b/src/platform/node_settings.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file node_settings.h The platform's settings file of one process, decoded. */
+/** @file node_settings.h Settings that the platform writes into a file for each instance. */
 
 #pragma once
 
@@ -10,43 +10,43 @@
 
 namespace cottonspool {
 
-/** Times and shares within which the operator's rules hold. */
+/** Time limits and retry limits that the platform requires of the instances. */
 struct PlatformBounds {
-	Duration drain{std::chrono::seconds(2)};      ///< Time after a target's notice from which nothing new may reach it.
-	Duration in_force{std::chrono::seconds(2)};   ///< Time after which a configuration has to be in force.
-	Duration empty{std::chrono::seconds(2)};      ///< Time after which nothing new may reach a hall that is emptied.
-	Duration contact{std::chrono::seconds(3)};    ///< Calm time after which the bounds hold again, also for what the store told meanwhile.
-	Duration stop_grace{std::chrono::seconds(8)}; ///< Time between SIGTERM and SIGKILL.
-	double retry_ratio = 0.2;                     ///< Second sends allowed for each request, all instances together.
-	Duration retry_window{std::chrono::seconds(10)}; ///< Window of that share.
-	double retry_slack = 50;                         ///< Second sends allowed beyond the share, all instances together.
+	Duration drain{std::chrono::seconds(2)};         ///< Time from a target's drain notice until it must get no new requests.
+	Duration in_force{std::chrono::seconds(2)};      ///< Time within which a new configuration has to be in force.
+	Duration empty{std::chrono::seconds(2)};         ///< Time until an evacuated hall must get no new requests.
+	Duration contact{std::chrono::seconds(3)};       ///< Time after an outage until the limits apply again, also to changes made during it.
+	Duration stop_grace{std::chrono::seconds(8)};    ///< Time between SIGTERM and SIGKILL.
+	double retry_ratio = 0.2;                        ///< Retries per request that all instances together may send.
+	Duration retry_window{std::chrono::seconds(10)}; ///< Time window for that ratio.
+	double retry_slack = 50;                         ///< Retries allowed beyond that ratio, for all instances together.
 };
 
-/** What the platform tells a process about itself. */
+/** Settings of one instance. */
 struct NodeSettings {
 	std::string name;                                    ///< Name of the instance.
-	std::string hall;                                    ///< Data hall it stands in.
-	std::map<std::string, std::string> halls;            ///< All data halls, each with its region.
-	Endpoint front;                                      ///< Where callers connect.
-	Endpoint ready;                                      ///< Where readiness is asked.
-	std::string ip;                                      ///< Its address.
-	uint16_t first_port = 0;                             ///< First port that is free for the instances' own use; 0 if there is none.
-	uint16_t last_port = 0;                              ///< Last one.
-	Endpoint store;                                      ///< The platform's store.
-	Duration heartbeat{std::chrono::milliseconds(1200)}; ///< Time between a target's heartbeats.
-	double link_mbps = 0;                                ///< Speed of its link, in Mbit/s; 0 if unknown.
-	uint64_t memory_mb = 0;                              ///< Memory that the process may use, in MB; 0 if unknown.
-	bool first_start = false;                            ///< The whole system starts for the first time.
-	PlatformBounds bounds;                               ///< Bounds.
+	std::string hall;                                    ///< Data hall of the instance.
+	std::map<std::string, std::string> halls;            ///< Region by data hall, for all halls.
+	Endpoint front;                                      ///< Address for requests of callers.
+	Endpoint ready;                                      ///< Address for readiness checks.
+	std::string ip;                                      ///< IP address of the instance.
+	uint16_t first_port = 0;                             ///< First port for connections between instances; 0 if there is none.
+	uint16_t last_port = 0;                              ///< Last such port.
+	Endpoint store;                                      ///< Address of the platform's store.
+	Duration heartbeat{std::chrono::milliseconds(1200)}; ///< Interval of the targets' heartbeats.
+	double link_mbps = 0;                                ///< Bandwidth of the instance's network link, in Mbit/s; 0 if unknown.
+	uint64_t memory_mb = 0;                              ///< Memory limit of the process, in MB; 0 if unknown.
+	bool first_start = false;                            ///< The entire system starts for the first time.
+	PlatformBounds bounds;                               ///< Required limits.
 };
 
-/** Read the settings from JSON \a text. @param file Name used in errors. */
+/** Parse settings from JSON \a text. @param file File name for error messages. */
 Result<NodeSettings> ParseNodeSettings(const std::string &text, const std::string &file);
 
-/** @return The path of the settings file that the platform's environment names, or an empty text. */
+/** @return Path of the settings file as named by the environment variable COTTONSPOOL_NODE_FILE, or an empty string. */
 std::string NodeSettingsPath();
 
-/** Read the settings from the file at \a path. */
+/** Load settings from the file at \a path. */
 Result<NodeSettings> LoadNodeSettings(const std::string &path);
 
 } // namespace cottonspool
--- a/src/platform/platform_base.h
+++ b/src/platform/platform_base.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file platform_base.h The platform's table, object store and instance list, as an interface. */
+/** @file platform_base.h Interface to the platform's table, object store and instance list. */
 
 #pragma once
 
@@ -15,22 +15,22 @@
 struct PlatformRow {
 	std::string key;     ///< Key.
 	std::string value;   ///< Content.
-	std::string version; ///< Version for Replace(); empty when there is no such row.
+	std::string version; ///< Version for conditional writes; empty if there is no such row or object.
 };
 
-/** How a write ended. */
+/** Result of a write. */
 struct WriteOutcome {
-	WriteResult result = WriteResult::Unknown; ///< Done, not done, or unknown.
-	std::string version;                       ///< New version, when done.
+	WriteResult result = WriteResult::Unknown; ///< Whether it was executed.
+	std::string version;                       ///< New version, if it was.
 };
 
-/** An instance as the platform's list shows it, with a lag. */
+/** An entry of the platform's instance list, which may be out of date. */
 struct ListedInstance {
 	std::string name;     ///< Name of an instance or a target.
-	bool leaving = false; ///< Shown as leaving.
+	bool leaving = false; ///< Listed as draining.
 };
 
-/** The platform's services. Each call comes to exactly one call of its \a done function, later or at once. */
+/** The platform's services. Each call leads to exactly one call of its \a done function, possibly before the call returns. */
 class Platform {
 public:
 	using ReadDone = std::function<void(Result<PlatformRow>)>;
@@ -43,25 +43,25 @@
 	/** Read a row of the table. */
 	virtual void ReadRow(const std::string &key, ReadDone done) = 0;
 
-	/** Write a row if there is none. */
+	/** Write a row if it does not exist. */
 	virtual void InsertRow(const std::string &key, const std::string &value, WriteDone done) = 0;
 
-	/** Write a row if it still has \a version. */
+	/** Write a row if its version is still \a version. */
 	virtual void ReplaceRow(const std::string &key, const std::string &value, const std::string &version, WriteDone done) = 0;
 
-	/** Read up to SCAN_PAGE rows whose keys begin with \a prefix and come after \a after, in order. */
+	/** Read up to SCAN_PAGE rows, in order of their keys, whose keys begin with \a prefix and follow \a after. */
 	virtual void ScanRows(const std::string &prefix, const std::string &after, ScanDone done) = 0;
 
 	/** Read an object. */
 	virtual void ReadObject(const std::string &key, ReadDone done) = 0;
 
-	/** Write an object if it still has \a version; an empty version means if there is none. */
+	/** Write an object if its version is still \a version, or if it does not exist for an empty \a version. */
 	virtual void WriteObject(const std::string &key, const std::string &value, const std::string &version, WriteDone done) = 0;
 
-	/** Read the list of live and leaving instances. */
+	/** Read the list of live and draining instances. */
 	virtual void ListInstances(ListDone done) = 0;
 
-	static constexpr size_t SCAN_PAGE = 500; ///< Rows of a full page of a scan.
+	static constexpr size_t SCAN_PAGE = 500; ///< Rows of a page of a scan.
 };
 
 } // namespace cottonspool
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file platform_client.cpp Calls to the platform. */
+/** @file platform_client.cpp HTTP client of the platform's table, object store and instance list. */
 
 #include "platform/platform_client.h"
 #include <nlohmann/json.hpp>
@@ -14,14 +14,14 @@
 	if (this->under_way >= MAX_CALLS) {
 		this->counters.refused++;
 		HttpEnd end;
-		end.message = "too many platform calls under way";
+		end.message = "too many platform calls in flight";
 		return done(end, {}, "");
 	}
 	this->under_way++;
 	(method == "GET" ? this->counters.reads : this->counters.writes)++;
 	struct Answer {
-		HttpHeaders headers; ///< Headers so far.
-		std::string body;    ///< Body so far.
+		HttpHeaders headers; ///< Headers received.
+		std::string body;    ///< Body received so far.
 	};
 	auto answer = std::make_shared<Answer>();
 	HttpCall call;
--- a/src/platform/platform_client.h
+++ b/src/platform/platform_client.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file platform_client.h Calls to the platform's table, object store and instance list. */
+/** @file platform_client.h HTTP client of the platform's table, object store and instance list. */
 
 #pragma once
 
@@ -14,10 +14,10 @@
 	uint64_t reads = 0;    ///< Reads sent.
 	uint64_t writes = 0;   ///< Writes sent.
 	uint64_t failures = 0; ///< Calls without a usable answer.
-	uint64_t refused = 0;  ///< Calls not sent because too many were under way.
+	uint64_t refused = 0;  ///< Calls not sent because too many were in flight.
 };
 
-/** Makes platform calls, each with a deadline, and at most so many at once. */
+/** Calls the platform over HTTP, with a deadline per call and a limit on the calls in flight. */
 class PlatformClient : public Platform {
 public:
 	PlatformClient(HttpClient &client, std::string base, Duration deadline) : client(client), base(std::move(base)), deadline(deadline) {}
@@ -40,12 +40,12 @@
 	void Read(const std::string &path, Step step, ReadDone done);
 	void Write(const std::string &path, const std::string &value, HttpHeaders headers, WriteDone done);
 
-	static constexpr size_t MAX_CALLS = 64; ///< Most calls under way.
+	static constexpr size_t MAX_CALLS = 64; ///< Limit on the calls in flight.
 
-	HttpClient &client;        ///< HTTP.
+	HttpClient &client;        ///< HTTP client.
 	std::string base;          ///< Base URL.
-	Duration deadline;         ///< Deadline of one call.
-	size_t under_way = 0;      ///< Calls under way.
+	Duration deadline;         ///< Time limit per call.
+	size_t under_way = 0;      ///< Calls in flight.
 	PlatformCounters counters; ///< Counters.
 };
 
