--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -23,7 +23,7 @@
 	{
 		const Json *value = this->Find(path);
 		if (value != nullptr && value->is_string()) return value->get<std::string>();
-		this->Fail(path, "has to be a text");
+		this->Fail(path, "has to be a string");
 		return {};
 	}
 
--- a/src/platform/wire_configuration.cpp
+++ b/src/platform/wire_configuration.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_configuration.cpp Decodes configurations and heartbeats. */
+/** @file wire_configuration.cpp Decodes the configuration and the targets' heartbeats. */
 
 #include "platform/wire_configuration.h"
 #include "net/tcp_stream.h"
@@ -23,7 +23,7 @@
 	return std::string(key.substr(PREFIX.size()));
 }
 
-/** @return The texts in the list \a name of \a object. */
+/** @return The strings in the array field \a name of \a object. */
 static std::vector<std::string> TextsOf(const Json &object, const char *name)
 {
 	std::vector<std::string> texts;
@@ -33,7 +33,7 @@
 	return texts;
 }
 
-/** Decode one route. */
+/** Decode a route. */
 static Route DecodeRoute(const Json &from)
 {
 	Route route;
@@ -41,7 +41,7 @@
 	route.host = TextOf(from, "host");
 	route.path_prefix = TextOf(from, "pathPrefix");
 	std::string kind = TextOf(from, "routeType");
-	// A kind we do not know is treated as the most careful one that still serves: run at most once.
+	// An unknown route type gets the strictest treatment: its requests are run at most once.
 	route.kind = kind == "idempotent" ? RunKind::Repeatable : kind == "streaming" ? RunKind::Stream : RunKind::Once;
 	for (const Json &share : ListOf(from, "weightedServices")) {
 		route.pools.push_back({TextOf(share, "service"), NumberOf(share, "weight", 1)});
@@ -57,7 +57,7 @@
 	return route;
 }
 
-/** Decode one pool of targets. */
+/** Decode a pool of targets. */
 static Pool DecodePool(const Json &from)
 {
 	Pool pool;
@@ -79,7 +79,7 @@
 	return pool;
 }
 
-/** Decode the limits on callers. */
+/** Decode the limits on requests of callers. */
 static CallerLimits DecodeLimits(const Json &from)
 {
 	CallerLimits limits;
@@ -116,27 +116,27 @@
 	return configuration;
 }
 
-/** @return What is wrong with \a row as a heartbeat; null if each field that is used is there and of its type. */
+/** @return Why \a row is not a valid heartbeat; null if it is one. */
 static const char *FaultOf(const Json &row)
 {
-	if (!row.is_object()) return "no object";
+	if (!row.is_object()) return "not a JSON object";
 	for (const char *name : {"service", "address", "zone"}) {
-		if (TextOf(row, name).empty()) return "no service, address or zone";
+		if (TextOf(row, name).empty()) return "service, address or zone is missing";
 	}
-	if (!ParseEndpoint(TextOf(row, "address"))) return "no address";
+	if (!ParseEndpoint(TextOf(row, "address"))) return "the address is not of the form IP:PORT";
 	std::string state = TextOf(row, "state");
-	if (state != "ready" && state != "draining") return "no known state";
-	if (NumberOf(row, "capacity") < 1) return "no capacity";
-	if (!row.contains("coldRemainingMs") || !row["coldRemainingMs"].is_number()) return "no time for which it is cold";
-	if (!row.contains("sequence") || !row["sequence"].is_number()) return "no sequence";
-	if (row.contains("born") && !row["born"].is_number_unsigned()) return "no start";
+	if (state != "ready" && state != "draining") return "unknown state";
+	if (NumberOf(row, "capacity") < 1) return "the capacity is missing or below 1";
+	if (!row.contains("coldRemainingMs") || !row["coldRemainingMs"].is_number()) return "coldRemainingMs is not a number";
+	if (!row.contains("sequence") || !row["sequence"].is_number()) return "the sequence is not a number";
+	if (row.contains("born") && !row["born"].is_number_unsigned()) return "the start time is not an unsigned integer";
 	return nullptr;
 }
 
 Result<TargetRow> DecodeTargetRow(const StoredRow &row)
 {
 	if (row.deleted) return TargetRow{row.key, std::nullopt};
-	if (row.unreadable) return Error{Step::Table, row.key, "no bytes"};
+	if (row.unreadable) return Error{Step::Table, row.key, "the value is not valid base64"};
 	Json root = Json::parse(row.value, nullptr, false);
 	if (const char *fault = FaultOf(root)) return Error{Step::Table, row.key, fault};
 	ListedTarget target;
--- a/src/platform/wire_configuration.h
+++ b/src/platform/wire_configuration.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_configuration.h Decodes what operators and targets write into the platform's store. */
+/** @file wire_configuration.h Decodes the rows that operators and targets write into the platform's store. */
 
 #pragma once
 
@@ -10,20 +10,19 @@
 
 namespace cottonspool {
 
-extern const char *const CONFIGURATION_TABLE; ///< Table in which the operator keeps the configuration.
-extern const char *const TARGET_TABLE;        ///< Table in which targets keep their heartbeats.
+extern const char *const CONFIGURATION_TABLE; ///< Table with the operator's configuration.
+extern const char *const TARGET_TABLE;        ///< Table with the targets' heartbeats.
 
-/** @return Whether \a key of CONFIGURATION_TABLE holds the configuration. */
+/** @return Whether \a key is the row of CONFIGURATION_TABLE that holds the configuration. */
 bool IsConfigurationKey(std::string_view key);
 
-/** @return The data hall that the operators ask to empty as long as the row \a key of CONFIGURATION_TABLE stands; nothing for other rows.
- */
+/** @return The data hall that is evacuated while the row \a key of CONFIGURATION_TABLE exists; nothing if it is a row of another kind. */
 std::optional<std::string> EmptiedHallOf(std::string_view key);
 
-/** Decode a whole configuration. */
+/** Decode a configuration. */
 Result<ServingConfiguration> DecodeConfiguration(const std::string &text);
 
-/** Decode one target's heartbeat. A row that cannot be read says nothing: an error. */
+/** Decode a target's heartbeat; an invalid row is an error. */
 Result<TargetRow> DecodeTargetRow(const StoredRow &row);
 
 } // namespace cottonspool
--- a/src/platform/wire_engine.cpp
+++ b/src/platform/wire_engine.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_engine.cpp Calls to engines beside the requests themselves. */
+/** @file wire_engine.cpp Auxiliary calls to targets. */
 
 #include "platform/wire_engine.h"
 #include "platform/json_func.h"
@@ -16,7 +16,7 @@
 	report.waiting = SmallCountOf(root, "queued");
 	report.used_tokens = CountOf(root, "kvUsed");
 	report.memory_tokens = CountOf(root, "kvTotal");
-	// Here this name holds the prompt tokens of the first request that waits.
+	// In a report, this field holds the number of prompt tokens of the first waiting request.
 	report.waiting_tokens = CountOf(root, "nextPageToken");
 	report.leaving = TextOf(root, "state") == "draining";
 	report.born = CountOf(root, "born");
@@ -30,7 +30,7 @@
 	MoveAnswer answer;
 	if (root.is_object()) {
 		answer.handle = TextOf(root, "handle");
-		// Here this name holds the number of events that the run has made.
+		// In this answer, the field holds the number of events that the run has produced.
 		answer.events = CountOf(root, "createdRev");
 	}
 	switch (status) {
@@ -52,7 +52,7 @@
 	return answer;
 }
 
-static constexpr size_t MAX_REPORT_BYTES = 64U << 10; ///< Part of an answer that is looked at.
+static constexpr size_t MAX_REPORT_BYTES = 64U << 10; ///< Part of an answer that is parsed.
 
 const char *const REPORT_PATH = "/-/report";
 
@@ -62,13 +62,13 @@
 	return NAMES[static_cast<size_t>(sign)];
 }
 
-/** Collects a whole answer: its status and body. */
+/** An answer that is collected in memory. */
 struct WholeAnswer {
-	int status = 0;   ///< Status.
+	int status = 0;   ///< HTTP status; 0 if the answer is incomplete.
 	std::string body; ///< Body.
 };
 
-/** Have \a call collect its answer and hand it to \a done; status 0 when there is none. */
+/** Set the callbacks of \a call so that it collects the answer and passes it to \a done. */
 static void Collect(UpstreamCall &call, std::function<void(const WholeAnswer &)> done)
 {
 	auto answer = std::make_shared<WholeAnswer>();
@@ -97,10 +97,10 @@
 
 UpstreamCall MakeLifeCall(const Endpoint &to, const TargetLife &life, const std::string &path, std::function<void(LifeSign)> done)
 {
-	/** What the answer tells of who gave it. */
+	/** State of the probe. */
 	struct Told {
-		LifeSign sign = LifeSign::Broken; ///< Finding so far.
-		std::string body;                 ///< Body.
+		LifeSign sign = LifeSign::Broken; ///< Result according to the answer so far.
+		std::string body;                 ///< Body of the answer, up to MAX_REPORT_BYTES.
 	};
 	auto told = std::make_shared<Told>();
 	UpstreamCall call;
@@ -134,7 +134,7 @@
 	call.method = "POST";
 	call.target = "/-/kv-move";
 	call.headers = {{"Host", to.Text()}, {"Content-Type", "application/json"}};
-	// Here "targetVersion" holds the address of the engine that the copy goes to.
+	// In this call, "targetVersion" holds the address of the engine that receives the copy.
 	call.body = Json{{"id", attempt}, {"targetVersion", copy_to}, {"last", stop}}.dump();
 	Collect(call, [done = std::move(done)](const WholeAnswer &answer) { done(DecodeMove(answer.status, answer.body)); });
 	return call;
--- a/src/platform/wire_engine.h
+++ b/src/platform/wire_engine.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_engine.h Calls to engines beside the requests themselves: reports of their state, moves of runs. */
+/** @file wire_engine.h Auxiliary calls to targets: load reports, live migration of runs, and liveness probes. */
 
 #pragma once
 
@@ -9,69 +9,69 @@
 
 namespace cottonspool {
 
-/** An engine's own report of its state; some hundred milliseconds old when it arrives. */
+/** An engine's report of its load; a few hundred milliseconds old when it arrives. */
 struct EngineReport {
-	uint32_t running = 0;              ///< Generations being decoded.
-	uint32_t waiting = 0;              ///< Generations accepted and not yet decoded.
-	uint64_t used_tokens = 0;          ///< Memory that cannot give way.
-	uint64_t memory_tokens = 0;        ///< Memory in all.
-	uint64_t waiting_tokens = 0;       ///< Prompt tokens of the first that waits.
-	bool leaving = false;              ///< It leaves.
-	uint64_t born = 0;                 ///< Start of its life, in milliseconds since the epoch by its own clock; 0 if it tells none.
-	std::optional<Duration> leaves_in; ///< How soon, if it knows.
+	uint32_t running = 0;        ///< Generations being decoded.
+	uint32_t waiting = 0;        ///< Generations accepted and not yet decoded.
+	uint64_t used_tokens = 0;    ///< Size of the KV cache in use that cannot be evicted, in tokens.
+	uint64_t memory_tokens = 0;  ///< Total size of the KV cache, in tokens.
+	uint64_t waiting_tokens = 0; ///< Prompt tokens of the first waiting generation.
+	bool leaving = false;        ///< The engine is draining.
+	uint64_t born = 0;           ///< When the engine was started, in milliseconds since the Unix epoch by its own clock; 0 if unknown.
+	std::optional<Duration> leaves_in; ///< Time until it shuts down, if announced.
 };
 
-/** Result of asking an engine to copy a run's memory to another one. */
+/** Answer of an engine to the request to copy a run's KV cache to another engine. */
 struct MoveAnswer {
 	enum class Kind : uint8_t {
-		Copied,   ///< The copy is done and named.
-		NoRun,    ///< No such run there: not begun, or ended.
-		Busy,     ///< A copy of this run is under way.
-		NoRoom,   ///< The other engine has no room, or cannot be reached.
-		NoAnswer, ///< The call ended without a usable answer.
+		Copied,   ///< The copy is complete.
+		NoRun,    ///< The engine has no such run: not started yet, or finished.
+		Busy,     ///< Another copy of this run is in progress.
+		NoRoom,   ///< The receiving engine has no capacity or is unreachable.
+		NoAnswer, ///< The call failed or its answer was invalid.
 	};
-	Kind kind = Kind::NoAnswer; ///< What came of it.
-	std::string handle;         ///< Name of the copy, at the source; may be given with NoRoom too, once the run has stopped.
-	uint64_t events = 0;        ///< Events made so far.
+	Kind kind = Kind::NoAnswer; ///< Result.
+	std::string handle;         ///< Handle of the copy at the source engine; may also be set with NoRoom if the run was stopped.
+	uint64_t events = 0;        ///< Number of events that the run has produced.
 };
 
-/** @return The call that asks the engine \a peer at \a to for its report; \a done gets it, or nothing. */
+/** @return A call that requests the report of the engine \a peer at \a to; \a done gets nothing if that fails. */
 UpstreamCall MakeReportCall(const Endpoint &to, const std::string &peer, std::function<void(std::optional<EngineReport>)> done);
 
 /**
- * @return The call that has the engine \a peer at \a to copy the memory of the run of \a attempt to the engine at \a copy_to.
- * @param stop The run stops first, so that the copy is whole; otherwise it goes on meanwhile.
+ * @return A call that makes the engine \a peer, at \a to, copy the KV cache of the run of \a attempt to the engine at \a copy_to.
+ * @param stop Stop the run before it is copied, so that the copy is complete; otherwise it continues meanwhile.
  */
 UpstreamCall MakeMoveCall(const Endpoint &to, const std::string &peer, const std::string &attempt, const std::string &copy_to, bool stop,
                           std::function<void(const MoveAnswer &)> done);
 
-/** @return The call that frees the copy \a handle at its source and at the other end. */
+/** @return A call that releases the copy \a handle at the source and at the receiving engine. */
 UpstreamCall MakeDropCall(const Endpoint &to, const std::string &peer, const std::string &handle);
 
-/** What came of asking whether a target still lives. */
+/** Result of a liveness probe of a target. */
 enum class LifeSign : uint8_t {
-	Answered,  ///< It answers.
-	OtherLife, ///< Another target has the address, or this one has started again.
-	Refused,   ///< Nobody listens there any more.
-	Broken,    ///< The connection broke, or did not come up although somebody may listen.
+	Answered,  ///< The target answered.
+	OtherLife, ///< Another target answered at the address, or a later incarnation of this one.
+	Refused,   ///< Connection refused: no process listens at the address.
+	Broken,    ///< The connection failed in another way, so that the target may be alive.
 };
 
 /** @return The name of \a sign for logs. */
 const char *LifeSignName(LifeSign sign);
 
 /**
- * @return The call that asks, on a fresh connection, whether \a life of a target, which was at \a to, still lasts.
- * @param path What it answers without doing work: a report, or the health check of a plain service.
+ * @return A call that probes, on a new connection, whether the incarnation \a life of a target is still alive at \a to.
+ * @param path Path that is cheap to answer: the report of an engine, or the health check of a service.
  */
 UpstreamCall MakeLifeCall(const Endpoint &to, const TargetLife &life, const std::string &path, std::function<void(LifeSign)> done);
 
-/** Path of an engine's report. */
+/** Path of an engine's load report. */
 extern const char *const REPORT_PATH;
 
-/** Decode a report. */
+/** Decode a load report. */
 std::optional<EngineReport> DecodeReport(const std::string &text);
 
-/** Decode the answer to a move. */
+/** Decode the answer to a copy request. */
 MoveAnswer DecodeMove(int status, const std::string &text);
 
 } // namespace cottonspool
--- a/src/platform/wire_request.cpp
+++ b/src/platform/wire_request.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_request.cpp Header fields of requests and answers. */
+/** @file wire_request.cpp Decodes and encodes header fields of requests and answers. */
 
 #include "platform/wire_request.h"
 #include <algorithm>
@@ -19,7 +19,7 @@
 	return value;
 }
 
-/** @return The number at the start of \a text, the largest that 32 bits hold if it is larger, or 0. */
+/** @return The number at the start of \a text, limited to 32 bits; 0 if there is none. */
 static uint32_t SmallNumber(std::string_view text)
 {
 	return static_cast<uint32_t>(std::min<uint64_t>(LeadingNumber(text).value_or(0), UINT32_MAX));
@@ -42,25 +42,25 @@
 	static constexpr std::string_view SCHEME = "bearer ";
 	RequestInfo info;
 	info.attempt = FindHeader(head.headers, "X-Attempt-Id");
-	static constexpr uint64_t MOST_MS = 1000ULL * 86400 * 365; ///< A year: longer limits mean none, and their sums still fit.
+	static constexpr uint64_t MOST_MS = 1000ULL * 86400 * 365; ///< A year; keeps sums of times within the range of Duration.
 	if (auto ms = LeadingNumber(FindHeader(head.headers, "X-Deadline-Ms")))
 		info.deadline = std::chrono::milliseconds(std::min(*ms, MOST_MS));
 	std::string_view authorization = FindHeader(head.headers, "Authorization");
 	bool bearer = authorization.size() > SCHEME.size() && strncasecmp(authorization.data(), SCHEME.data(), SCHEME.size()) == 0;
 	if (bearer) info.key = authorization.substr(SCHEME.size());
 	info.model = FindHeader(head.headers, "X-Model");
-	// "IN,OUT": tokens of the prompt, and the most that may be generated.
+	// "IN,OUT": prompt tokens and the limit on output tokens.
 	std::vector<std::string_view> tokens = Split(FindHeader(head.headers, "X-Token-Count"));
 	if (!tokens.empty()) info.prompt_tokens = SmallNumber(tokens[0]);
 	if (tokens.size() > 1) info.most_output_tokens = SmallNumber(tokens[1]);
 	info.hinted_tokens = SmallNumber(FindHeader(head.headers, "X-Length-Hint"));
-	// "ID:TOKENS,…": the last part is the request's own, the one before it the last that others may share.
+	// "ID:TOKENS,…": the last part belongs to this request alone; the one before it is the last that may be shared.
 	std::vector<std::string_view> parts = Split(FindHeader(head.headers, "X-Prompt-Prefix"));
 	if (parts.size() > 1) info.shared_prefix = parts[parts.size() - 2].substr(0, parts[parts.size() - 2].find(':'));
 	return info;
 }
 
-/** @return Whether \a name is a field that only an instance may set, so that a caller's own is dropped. */
+/** @return Whether \a name is a field that only an instance may set; it is dropped from callers' requests. */
 static bool IsInstanceField(std::string_view name)
 {
 	static constexpr std::array<std::string_view, 12> FIELDS{
@@ -71,7 +71,7 @@
 	});
 }
 
-/** @return \a duration as whole milliseconds, at least 1. */
+/** @return \a duration in milliseconds, at least 1. */
 static std::string Milliseconds(Duration duration)
 {
 	int64_t ms = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
@@ -97,10 +97,10 @@
 	return headers;
 }
 
-/** @return The decimal number that \a text is, digits and at most one point, cut to \a most; nothing if it is none. */
+/** @return The decimal number \a text, limited to \a most; nothing unless it consists of digits and at most one decimal point. */
 static std::optional<double> DecimalNumber(std::string_view text, double most)
 {
-	static constexpr size_t LONGEST = 32; ///< Signs: no sender needs more.
+	static constexpr size_t LONGEST = 32; ///< Longest accepted text.
 	auto is_part = [](char sign) { return (sign >= '0' && sign <= '9') || sign == '.'; };
 	bool digit_first = !text.empty() && text.front() != '.';
 	if (!digit_first || text.size() > LONGEST || !std::all_of(text.begin(), text.end(), is_part)) return std::nullopt;
@@ -110,10 +110,10 @@
 	return std::min(value, most);
 }
 
-/** Read the limit in \a head; of several the lowest counts, and one that cannot be read says nothing. */
+/** Read the rate limits in \a head. The lowest counts; invalid ones are ignored. */
 static void ReadLimit(const HttpHead &head, TargetSigns *signs)
 {
-	static constexpr double MOST_PER_S = 1e6; ///< A limit beyond it binds nobody.
+	static constexpr double MOST_PER_S = 1e6; ///< Higher limits count as this one.
 	for (const HttpHeader &header : head.headers) {
 		if (strcasecmp(header.name.c_str(), "Server-Limit") != 0) continue;
 		std::optional<double> limit = DecimalNumber(header.value, MOST_PER_S);
@@ -127,10 +127,10 @@
 	}
 }
 
-/** Read the pause that \a head asks for: a number of seconds behind a status that turns the request away. */
+/** Read the Retry-After time, in seconds, of an answer that rejects its request. */
 static void ReadPause(const HttpHead &head, TargetSigns *signs)
 {
-	static constexpr double MOST_S = 86400; ///< A day: longer pauses count as one.
+	static constexpr double MOST_S = 86400; ///< A day; longer times count as one day.
 	std::string_view text = FindHeader(head.headers, "Retry-After");
 	if (head.status != 503 || text.empty()) return;
 	std::optional<double> seconds = DecimalNumber(text, MOST_S);
@@ -138,11 +138,11 @@
 	signs->pause = FromSeconds(seconds.value_or(0));
 }
 
-/** @return What the target that gave the answer \a head says of itself. */
+/** @return The signals of a target in the header fields of its answer. */
 static TargetSigns ReadSigns(const HttpHead &head)
 {
 	TargetSigns signs;
-	// It is the word of another target, which has the address by now, or of nobody: a success without a stamp.
+	// Ignore an answer from another target that has taken over the address (421), and a success without the target's stamp.
 	bool stamped = !FindHeader(head.headers, "X-Server-Stamp").empty();
 	if (head.status == 421 || (head.status / 100 == 2 && !stamped)) return signs;
 	ReadLimit(head, &signs);
@@ -157,7 +157,7 @@
 {
 	AnswerInfo info;
 	info.attempt = FindHeader(head.headers, "X-Attempt-Id");
-	// Another target has the address (421): by its kind that answer says that the request has not run.
+	// 421 comes from another target that has taken over the address, so that the request was not executed.
 	info.not_run = !FindHeader(head.headers, "X-Not-Executed").empty() || head.status == 421;
 	info.stamped = !FindHeader(head.headers, "X-Server-Stamp").empty();
 	std::vector<std::string_view> load = Split(FindHeader(head.headers, "X-Server-Load"));
--- a/src/platform/wire_request.h
+++ b/src/platform/wire_request.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_request.h Header fields of requests and answers on the platform, decoded and encoded. */
+/** @file wire_request.h Decodes and encodes the platform's header fields of requests and answers. */
 
 #pragma once
 
@@ -10,67 +10,67 @@
 
 namespace cottonspool {
 
-/** What a caller's header fields say. */
+/** Contents of a request's header fields. */
 struct RequestInfo {
-	std::string attempt;              ///< Id of this try, spelt as the caller spelt it.
-	std::optional<Duration> deadline; ///< How long the caller waits, from when it sent the request.
-	std::string key;                  ///< Client account's key; empty if there is none.
-	std::string model;                ///< Model asked for; empty for plain requests.
-	uint32_t prompt_tokens = 0;       ///< Length of the prompt.
-	uint32_t most_output_tokens = 0;  ///< Most output tokens.
-	uint32_t hinted_tokens = 0;       ///< Caller's estimate of the output; 0 if there is none.
-	std::string shared_prefix;        ///< Id of the prompt's last shared part; empty if there is none.
+	std::string attempt;              ///< Id of this attempt, as received.
+	std::optional<Duration> deadline; ///< Time that the caller waits from sending the request.
+	std::string key;                  ///< API key of the client account; empty if there is none.
+	std::string model;                ///< Requested model; empty for requests to services.
+	uint32_t prompt_tokens = 0;       ///< Length of the prompt, in tokens.
+	uint32_t most_output_tokens = 0;  ///< Limit on output tokens.
+	uint32_t hinted_tokens = 0;       ///< Caller's estimate of the output tokens; 0 if there is none.
+	std::string shared_prefix;        ///< Id of the longest prompt prefix that other requests may share; empty if there is none.
 };
 
-/** Decode the fields of a request. Fields that cannot be read count as absent. */
+/** Decode the header fields of a request; invalid ones count as absent. */
 RequestInfo ReadRequest(const HttpHead &head);
 
-/** Where a run goes on from. */
+/** Copy of a run's KV cache from which it is resumed. */
 struct ResumePoint {
-	std::string source;      ///< IP:PORT that the copy's name belongs to.
-	std::string handle;      ///< Name of the copy.
-	uint64_t last_event = 0; ///< Last event that was passed on.
+	std::string source;      ///< IP:PORT of the engine that issued the handle.
+	std::string handle;      ///< Handle of the copy.
+	uint64_t last_event = 0; ///< Number of the last event that was delivered.
 };
 
-/** What an instance tells a target beyond the caller's own fields. */
+/** Contents of the header fields that an instance adds to a request for a target. */
 struct SendInfo {
-	Duration remaining{0};             ///< Time left.
-	std::string target;                ///< Name of the only target that may run it.
-	std::string account;               ///< Client account; empty for none.
-	std::optional<int> urgency;        ///< 0 goes first, 9 last; engines only.
-	std::optional<ResumePoint> resume; ///< Goes on with a run that was moved.
-	std::string backup_address;        ///< Engine that keeps a copy of the run; empty for none.
+	Duration remaining{0};             ///< Time until the deadline.
+	std::string target;                ///< Name of the target; any other one has to reject the request.
+	std::string account;               ///< Client account; empty if there is none.
+	std::optional<int> urgency;        ///< Scheduling priority from 0 (first) to 9 (last); engines only.
+	std::optional<ResumePoint> resume; ///< Set to resume a migrated run.
+	std::string backup_address;        ///< Address of the engine that keeps a backup of the run; empty for none.
 };
 
-/** @return Fields for a target: the caller's without those of one connection or of the instance's own, and the instance's. */
+/** @return Header fields of the request to a target: those received, without hop-by-hop fields, and those in \a info. */
 HttpHeaders HeadersForTarget(const HttpHeaders &received, const SendInfo &info);
 
-/** Load that a target tells with an answer. */
+/** Load that a target reports with an answer. */
 struct TargetLoad {
-	uint32_t running = 0; ///< Requests at work.
-	uint32_t waiting = 0; ///< Requests waiting.
-	uint32_t slots = 0;   ///< Requests it works on at once.
+	uint32_t running = 0; ///< Requests being processed.
+	uint32_t waiting = 0; ///< Requests in the queue.
+	uint32_t slots = 0;   ///< Limit on requests processed concurrently.
 };
 
-/** What an answer's header fields say. */
+/** Contents of an answer's header fields. */
 struct AnswerInfo {
-	std::string attempt;            ///< Id of the try that it answers; empty if it names none.
-	bool not_run = false;           ///< The target says that the request has not run.
-	bool stamped = false;           ///< It carries the target's stamp.
-	std::optional<TargetLoad> load; ///< Load of the target.
-	TargetSigns signs;              ///< What the target says of itself.
+	std::string attempt;            ///< Id of the attempt that it answers; empty if there is none.
+	bool not_run = false;           ///< The request was certainly not executed.
+	bool stamped = false;           ///< The target's stamp is present: the answer is not from a proxy.
+	std::optional<TargetLoad> load; ///< Load of the target, if reported.
+	TargetSigns signs;              ///< Other signals of the target.
 };
 
-/** Decode the fields of an answer. */
+/** Decode the header fields of an answer. */
 AnswerInfo ReadAnswer(const HttpHead &head);
 
-/** @return Fields of a target's answer for the caller. */
+/** @return Header fields of a target's answer to pass on to the caller. */
 HttpHeaders HeadersForCaller(const HttpHeaders &received);
 
-/** @return Fields of an answer of the instance's own; \a retry_after tells when to come back. */
+/** @return Header fields of an answer that the instance generates itself. */
 HttpHeaders OwnAnswerHeaders(const std::string &attempt, std::optional<Duration> retry_after);
 
-/** @return Whether \a path of a request is the one on which the platform asks for readiness. */
+/** @return Whether \a path is the platform's readiness check. */
 bool IsReadinessPath(std::string_view path);
 
 } // namespace cottonspool
--- a/src/platform/wire_store.cpp
+++ b/src/platform/wire_store.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_store.cpp Calls to the platform's store. */
+/** @file wire_store.cpp HTTP client of the platform's store. */
 
 #include "platform/wire_store.h"
 #include "platform/json_func.h"
@@ -9,10 +9,10 @@
 
 namespace cottonspool {
 
-static constexpr int PAGE_ROWS = 500;                  ///< Most rows of a page, as the store allows.
-static constexpr const char *ERA_HEADER = "Store-Era"; ///< Tells which life of the store answers.
+static constexpr int PAGE_ROWS = 500;                  ///< Rows per page; the store allows no more.
+static constexpr const char *ERA_HEADER = "Store-Era"; ///< Header field that holds the store epoch.
 
-/** @return The era that \a text names; 0 if it names none. */
+/** @return The epoch in \a text; 0 if it is not a number. */
 static uint64_t ParseEra(std::string_view text)
 {
 	uint64_t era = 0;
@@ -20,7 +20,7 @@
 	return fault == std::errc() && end == text.data() + text.size() ? era : 0;
 }
 
-/** Decode base64 \a text. @return Nothing when it is misspelt. */
+/** Decode base64 \a text. @return Nothing if it is invalid. */
 static std::optional<std::string> DecodeBase64(const std::string &text)
 {
 	if (text.empty()) return std::string();
@@ -44,7 +44,7 @@
 	return text;
 }
 
-/** @return \a text with everything but letters, digits and a few marks escaped. */
+/** @return \a text percent-encoded for a query string. */
 static std::string EscapeQuery(std::string_view text)
 {
 	static constexpr char HEX[] = "0123456789ABCDEF";
@@ -61,10 +61,10 @@
 	return out;
 }
 
-/** Decode one row. @return Nothing if it doesn't even say which one it is. */
+/** Decode a row. @return Nothing if it has no key; a row with an invalid value is marked as unreadable. */
 static std::optional<StoredRow> DecodeRow(const Json &from)
 {
-	// The row's key, whatever the name suggests.
+	// This field holds the key of the row.
 	if (!from.is_object() || TextOf(from, "tlsKey").empty()) return std::nullopt;
 	StoredRow row;
 	row.key = TextOf(from, "tlsKey");
@@ -81,14 +81,14 @@
 {
 	if (status == 410) return {std::nullopt, StoreFailure::HistoryGone, "410"};
 	if (status == 429 || status == 503) return {std::nullopt, StoreFailure::Refused, std::to_string(status)};
-	if (status == 0) return {std::nullopt, StoreFailure::NoAnswer, "no whole answer"};
+	if (status == 0) return {std::nullopt, StoreFailure::NoAnswer, "incomplete answer"};
 	Json root = Json::parse(text, nullptr, false);
 	if (status != 200 || !root.is_object() || !root.contains("ver")) return {std::nullopt, StoreFailure::Malformed, std::to_string(status)};
 	RowsPage page;
 	page.version = CountOf(root, "ver");
 	page.more = FlagOf(root, "hasMore");
 	for (const Json &row : ListOf(root, "rows")) {
-		// One that can't be read takes nothing from the others.
+		// An invalid row must not affect the others.
 		if (std::optional<StoredRow> decoded = DecodeRow(row)) page.rows.push_back(std::move(*decoded));
 	}
 	return {std::move(page), StoreFailure::NoAnswer, {}};
--- a/src/platform/wire_store.h
+++ b/src/platform/wire_store.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_store.h The platform's store behind the interface that the product uses. */
+/** @file wire_store.h HTTP client of the platform's store. */
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace cottonspool {
 
-/** Calls to the platform's store. */
+/** The platform's store, called over HTTP. */
 class WireStore : public TableStore {
 public:
 	WireStore(HttpUpstream &upstream, Endpoint address) : upstream(upstream), address(std::move(address)) {}
@@ -20,18 +20,18 @@
 	uint64_t RemoveRow(const std::string &table, const std::string &key, WriteDone done) override;
 	void Cancel(uint64_t call) override { this->upstream.Cancel(call); }
 
-	/** The store is at \a moved_to from now on. */
+	/** Use the address \a moved_to for calls from now on. */
 	void SetAddress(Endpoint moved_to) { this->address = std::move(moved_to); }
 
-	static constexpr const char *PEER = "store"; ///< Name under which its connections are kept.
+	static constexpr const char *PEER = "store"; ///< Peer name of its connections in the connection pool.
 
 private:
-	/** A whole answer of the store, or none. */
+	/** An answer of the store. */
 	struct Answer {
-		int status = 0;         ///< Status; 0 if no whole answer came.
-		uint64_t era = 0;       ///< Which life of the store it is; 0 if it does not tell.
+		int status = 0;         ///< HTTP status; 0 if there was no complete answer.
+		uint64_t era = 0;       ///< Store epoch; 0 if not reported.
 		std::string body;       ///< Body.
-		const char *cause = ""; ///< Why none came.
+		const char *cause = ""; ///< Why there was none.
 	};
 	using AnswerDone = std::function<void(const Answer &)>;
 
@@ -39,11 +39,11 @@
 	uint64_t Get(std::string target, RowsDone done);
 	uint64_t Transact(std::string body, WriteDone done);
 
-	HttpUpstream &upstream; ///< HTTP.
-	Endpoint address;       ///< Where the store is.
+	HttpUpstream &upstream; ///< HTTP client.
+	Endpoint address;       ///< Address of the store.
 };
 
-/** Decode an answer of the store to a read. */
+/** Decode the store's answer to a read. */
 RowsAnswer DecodeRows(int status, const std::string &text);
 
 } // namespace cottonspool
