--- a/src/net/http_front.cpp
+++ b/src/net/http_front.cpp
@@ -1,40 +1,40 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_front.cpp HTTP/1.1 server that goes on reading while a request is worked on. */
+/** @file http_front.cpp HTTP/1.1 server that keeps reading while a request is processed. */
 
 #include "net/http_front.h"
 #include <strings.h>
 
 namespace cottonspool {
 
-static constexpr size_t MAX_PIPELINED_BYTES = 256U << 10; ///< Bytes read ahead of an answer, beyond which the caller has to wait.
+static constexpr size_t MAX_PIPELINED_BYTES = 256U << 10; ///< Limit on bytes read behind the current request.
 
-/** One connection of a caller. */
+/** A connection of a caller. */
 class FrontConnection : public std::enable_shared_from_this<FrontConnection> {
 public:
 	FrontConnection(HttpFront &front, std::shared_ptr<TcpStream> stream);
 
-	/** Begin to read. */
+	/** Install the callbacks of the connection. */
 	void Begin();
 
-	/** Look whether the caller has taken too long. */
+	/** Check the timeouts. */
 	void OnTick(TimePoint now);
 
-	/** @return Whether it rests between two requests. */
+	/** @return Whether there is no request at present. */
 	bool IsIdle() const { return !this->exchange && !this->reader.IsInsideMessage(); }
 
-	/** Close it, and tell the request under way that the caller is gone if \a tell. */
+	/** Close the connection. @param tell Call on_gone of the current request. */
 	void Close(bool tell);
 
-	/** The answer under way is whole. */
+	/** Handle the end of the current answer. */
 	void OnAnswered(bool keep_alive);
 
-	/** Close it so that the caller sees that the answer is not whole. */
+	/** Reset the connection, so that the caller does not take the answer for complete. */
 	void Break();
 
 	HttpFront &front;                                            ///< Server.
-	std::shared_ptr<TcpStream> stream;                           ///< Connection.
-	std::list<std::shared_ptr<FrontConnection>>::iterator place; ///< Place in the server's list.
+	std::shared_ptr<TcpStream> stream;                           ///< TCP connection.
+	std::list<std::shared_ptr<FrontConnection>>::iterator place; ///< Position in the server's list.
 
 private:
 	void OnData(std::string_view bytes);
@@ -46,13 +46,13 @@
 	void RefuseMalformed();
 	void Forget();
 
-	HttpReader reader{HttpReader::Kind::Requests}; ///< Reads requests.
-	std::shared_ptr<FrontExchange> exchange;       ///< Request being read or worked on.
-	bool handed_over = false;                      ///< The handler has it.
-	bool in_reader = false;                        ///< The reader is at work.
-	TimePoint since;                               ///< Begin of the present wait.
-	bool forgotten = false;                        ///< Out of the server's list.
-	bool refused = false;                          ///< Nothing more is read.
+	HttpReader reader{HttpReader::Kind::Requests}; ///< Parser of the requests.
+	std::shared_ptr<FrontExchange> exchange;       ///< Request being received or processed.
+	bool handed_over = false;                      ///< The request was passed to the handler.
+	bool in_reader = false;                        ///< The parser is running, so that it must not be resumed.
+	TimePoint since;                               ///< Start of the time to which the current timeout applies.
+	bool forgotten = false;                        ///< Removed from the server's list.
+	bool refused = false;                          ///< Further input is ignored.
 };
 
 FrontConnection::FrontConnection(HttpFront &front, std::shared_ptr<TcpStream> stream) : front(front), stream(std::move(stream))
@@ -96,7 +96,7 @@
 void FrontConnection::ReadOn()
 {
 	if (this->in_reader) return;
-	// A loop rather than a call from each answer: many small requests sent at once must not deepen the stack.
+	// A loop instead of recursion, as many small pipelined requests would overflow the stack.
 	while (!this->refused && !this->handed_over && this->reader.IsPaused()) {
 		this->in_reader = true;
 		bool readable = this->reader.Resume();
@@ -150,7 +150,7 @@
 
 void FrontConnection::RefuseMalformed()
 {
-	// Bytes that came behind a request under way belong to a later one: the answer under way is not spoilt by them.
+	// The malformed bytes belong to a later request; the current one is still answered.
 	if (this->handed_over) {
 		this->refused = true;
 		if (this->exchange) this->exchange->keep_alive = false;
--- a/src/net/http_front.h
+++ b/src/net/http_front.h
@@ -1,6 +1,7 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_front.h HTTP/1.1 server that goes on reading while a request is worked on, so that a caller who leaves is noticed at once. */
+/** @file http_front.h HTTP/1.1 server that keeps reading while a request is processed, so that it detects a disconnect of the caller at
+ * once. */
 
 #pragma once
 
@@ -12,65 +13,65 @@
 
 class FrontConnection;
 
-/** Limits on what callers may send and how long they may take. */
+/** Limits on the size of requests and on the time that callers may take. */
 struct FrontLimits {
-	size_t max_head_bytes = 16U << 10;                ///< Longest head; a longer one is answered 431.
-	size_t max_body_bytes = 4U << 20;                 ///< Longest body; a longer one is answered 413.
-	Duration head_timeout = std::chrono::seconds(3);  ///< Longest time for a head to come in; then 408.
-	Duration idle_timeout = std::chrono::seconds(15); ///< Longest rest of a connection between requests.
-	Duration body_timeout = std::chrono::seconds(10); ///< Longest pause while a body comes in; then 408.
-	size_t max_backlog_bytes = 256U << 10;            ///< Unsent answer bytes from which a stream is to be paused.
+	size_t max_head_bytes = 16U << 10;                ///< Size limit of a request's head; beyond it the answer is 431.
+	size_t max_body_bytes = 4U << 20;                 ///< Size limit of a request's body; beyond it the answer is 413.
+	Duration head_timeout = std::chrono::seconds(3);  ///< Time limit for receiving a head; then the answer is 408.
+	Duration idle_timeout = std::chrono::seconds(15); ///< Idle time after which a connection is closed.
+	Duration body_timeout = std::chrono::seconds(10); ///< Time limit between two parts of a body; then the answer is 408.
+	size_t max_backlog_bytes = 256U << 10;            ///< Unsent bytes of an answer from which its source should be paused.
 };
 
-/** One request with its answer. */
+/** A request and its answer. */
 class FrontExchange {
 public:
 	HttpHead head;                    ///< Head of the request.
-	std::string body;                 ///< Whole body.
-	Endpoint from;                    ///< Where the caller is.
-	TimePoint read_at;                ///< When the request was whole.
-	std::function<void()> on_gone;    ///< The caller left before the answer was whole.
-	std::function<void()> on_drained; ///< Everything written so far has been sent.
+	std::string body;                 ///< Body of the request.
+	Endpoint from;                    ///< Address of the caller.
+	TimePoint read_at;                ///< When the request was received completely.
+	std::function<void()> on_gone;    ///< The caller disconnected before the answer was complete.
+	std::function<void()> on_drained; ///< All bytes written so far have been sent.
 
-	/** Answer whole. */
+	/** Send a complete answer. */
 	void Respond(int status, const HttpHeaders &headers, std::string_view answer_body, std::string_view reason = {});
 
-	/** Begin an answer whose parts follow; \a length is its size if it is known. */
+	/** Send the head of an answer. @param length Size of its body; without it the body is sent in chunks. */
 	void Start(int status, const HttpHeaders &headers, std::optional<uint64_t> length, std::string_view reason = {});
 
-	/** Add to an answer that was begun. */
+	/** Send a part of the body. */
 	void Write(std::string_view bytes);
 
-	/** The answer is whole. */
+	/** Complete the answer. */
 	void Finish();
 
-	/** Break the answer off, so that it cannot pass for whole; before its head, close the connection without an answer. */
+	/** Close the connection such that the caller cannot take the answer for complete. */
 	void Abort();
 
-	/** Close the connection once this answer has been sent. */
+	/** Close the connection after this answer. */
 	void CloseAfterwards() { this->keep_alive = false; }
 
 	/** @return Whether the head of the answer was sent. */
 	bool IsStarted() const { return this->started; }
 
-	/** @return Whether nothing more can be said to the caller. */
+	/** @return Whether the answer is complete or the connection closed, so that nothing more can be sent. */
 	bool IsOver() const { return this->connection == nullptr; }
 
-	/** @return Bytes of the answer not yet sent. */
+	/** @return Number of unsent bytes of the answer. */
 	size_t Backlog() const;
 
 private:
 	void SendHead(int status, const HttpHeaders &headers, std::optional<uint64_t> length, std::string_view reason, std::string_view first);
 
 	FrontConnection *connection = nullptr; ///< Connection; null once the exchange is over.
-	bool keep_alive = true;                ///< The connection goes on afterwards.
-	bool started = false;                  ///< The head was sent.
-	bool chunked = false;                  ///< Parts go out as chunks.
+	bool keep_alive = true;                ///< The connection stays open after the answer.
+	bool started = false;                  ///< The head of the answer was sent.
+	bool chunked = false;                  ///< The body of the answer is sent in chunks.
 
 	friend class FrontConnection;
 };
 
-/** Accepts connections and hands requests to one handler. */
+/** Accepts connections and passes their requests to a handler. */
 class HttpFront {
 public:
 	using Handler = std::function<void(const std::shared_ptr<FrontExchange> &)>;
@@ -83,29 +84,29 @@
 	/** Listen on \a at. @return The port. */
 	Result<uint16_t> Listen(const Endpoint &at) { return this->listener.Listen(at); }
 
-	/** Ask every connection to end after its next answer. */
+	/** Close each connection after its next answer. */
 	void BeginClosing() { this->closing = true; }
 
 	/** @return Whether BeginClosing() was called. */
 	bool IsClosing() const { return this->closing; }
 
-	/** Take no new connections and close those at rest. */
+	/** Stop accepting connections and close idle ones. */
 	void StopListening();
 
-	/** Time has passed; to be called some times a second. */
+	/** Check timeouts; to be called several times per second. */
 	void OnTick(TimePoint now);
 
-	/** @return Open connections. */
+	/** @return Number of open connections. */
 	size_t Connections() const { return this->connections.size(); }
 
-	FrontLimits limits; ///< Limits in force.
+	FrontLimits limits; ///< Current limits.
 
 private:
 	void OnStream(std::shared_ptr<TcpStream> stream);
 
-	uv_loop_s *loop;                                         ///< Loop.
-	Handler handler;                                         ///< Gets each request.
-	bool closing = false;                                    ///< Connections end after their next answer.
+	uv_loop_s *loop;                                         ///< Event loop.
+	Handler handler;                                         ///< Called for each request.
+	bool closing = false;                                    ///< Connections are closed after their next answer.
 	std::list<std::shared_ptr<FrontConnection>> connections; ///< Open connections.
 	TcpListener listener;                                    ///< Listener.
 
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_message.cpp Reading and writing HTTP/1.1 messages. */
+/** @file http_message.cpp Parses and formats HTTP/1.1 messages. */
 
 #include "net/http_message.h"
 #include <algorithm>
@@ -10,12 +10,12 @@
 
 namespace cottonspool {
 
-/** http-parser's state with the head being collected. */
+/** State of http-parser and the head being received. */
 struct HttpReader::Parser {
-	http_parser state{};              ///< http-parser's state.
+	http_parser state{};              ///< The parser.
 	http_parser_settings callbacks{}; ///< Its callbacks.
-	HttpHead head;                    ///< Head being collected.
-	bool in_value = false;            ///< The last piece was of a field's value.
+	HttpHead head;                    ///< Head received so far.
+	bool in_value = false;            ///< The last piece belonged to the value of a field, not to a name.
 
 	static HttpReader *Of(http_parser *parser) { return static_cast<HttpReader *>(parser->data); }
 	void AddName(std::string_view piece);
@@ -39,7 +39,7 @@
 	return false;
 }
 
-/** @return Whether \a header is spelt so that every other reader takes it for the same field. */
+/** @return Whether \a header has a valid name and value; others may be interpreted differently by other software. */
 static bool IsUnambiguous(const HttpHeader &header)
 {
 	static constexpr std::string_view MARKS = "!#$%&'*+-.^_`|~";
@@ -63,7 +63,7 @@
 	if ((parser->flags & F_CONTENTLENGTH) != 0) head.length = parser->content_length;
 	if (parser->type == HTTP_REQUEST) head.method = http_method_str(static_cast<http_method>(parser->method));
 	reader->head_bytes = 0;
-	// An upgrade is never agreed to: the message is read as if it had not been asked for.
+	// Upgrades are not supported: ignore a request for one.
 	parser->upgrade = 0;
 	if (reader->on_head) reader->on_head(std::move(head));
 	head = HttpHead{};
@@ -128,7 +128,7 @@
 	size_t used = http_parser_execute(&this->parser->state, &this->parser->callbacks, bytes.data(), bytes.size());
 	auto code = static_cast<http_errno>(this->parser->state.http_errno);
 	if (code == HPE_PAUSED) {
-		// The parser stops on the last byte of a message without counting it when it is paused from that callback.
+		// The message is complete; buffer the bytes behind it.
 		this->kept.append(bytes.substr(std::min(bytes.size(), used)));
 		if (this->on_complete) this->on_complete();
 		return true;
@@ -201,7 +201,7 @@
 	});
 }
 
-/** @return Whether the comma-separated \a list holds \a name. */
+/** @return Whether the comma-separated \a list contains \a name. */
 static bool ListHolds(std::string_view list, std::string_view name)
 {
 	while (!list.empty()) {
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_message.h Reading HTTP/1.1 messages out of a connection's bytes, by http-parser; and writing their heads. */
+/** @file http_message.h Parses HTTP/1.1 messages, using http-parser, and formats their heads. */
 
 #pragma once
 
@@ -11,27 +11,27 @@
 
 namespace cottonspool {
 
-/** Head of a request or of an answer, as received. */
+/** Head of a received request or answer. */
 struct HttpHead {
 	std::string method;             ///< Method (requests).
-	std::string target;             ///< Path with the query, unaltered (requests).
+	std::string target;             ///< Path with query, as received (requests).
 	int status = 0;                 ///< Status (answers).
-	std::string reason;             ///< Text behind the status (answers).
-	HttpHeaders headers;            ///< Header fields in order, as spelt.
-	std::optional<uint64_t> length; ///< Content-Length, if there is one.
-	bool keep_alive = false;        ///< The connection may be used again after this message.
-	bool chunked = false;           ///< The body comes in chunks.
+	std::string reason;             ///< Reason phrase (answers).
+	HttpHeaders headers;            ///< Header fields, as received.
+	std::optional<uint64_t> length; ///< Content-Length, if present.
+	bool keep_alive = false;        ///< The connection may be reused after this message.
+	bool chunked = false;           ///< The body is sent in chunks.
 };
 
-/** What went wrong with a message. */
+/** Error of the parser. */
 enum class HttpReadError : uint8_t {
-	None,          ///< Nothing.
-	Malformed,     ///< Not HTTP, or ambiguous about where it ends.
-	HeadersTooBig, ///< The head is longer than allowed.
-	BodyTooBig,    ///< The body is longer than allowed.
+	None,          ///< No error.
+	Malformed,     ///< Not valid HTTP, or ambiguous framing.
+	HeadersTooBig, ///< The head exceeds its size limit.
+	BodyTooBig,    ///< The body exceeds its size limit.
 };
 
-/** Reads messages of one kind, one after another. It stops behind each message until Resume(). */
+/** Incremental parser of a sequence of messages. It stops after each message until Resume(). */
 class HttpReader {
 public:
 	enum class Kind : uint8_t { Requests, Answers };
@@ -41,32 +41,32 @@
 	HttpReader(const HttpReader &) = delete;
 	HttpReader &operator=(const HttpReader &) = delete;
 
-	std::function<void(HttpHead &&)> on_head;      ///< The head of a message came.
-	std::function<void(std::string_view)> on_body; ///< A part of the body, without transfer coding.
-	std::function<void()> on_complete;             ///< The message is whole.
+	std::function<void(HttpHead &&)> on_head;      ///< The head of a message is complete.
+	std::function<void(std::string_view)> on_body; ///< A part of the body was received; the transfer coding is removed.
+	std::function<void()> on_complete;             ///< The message is complete.
 
-	size_t max_head_bytes = 64U << 10; ///< Longest head.
-	bool answers_head_request = false; ///< The answer has no body, whatever its fields say.
+	size_t max_head_bytes = 64U << 10; ///< Size limit of a head.
+	bool answers_head_request = false; ///< The next answer is to a HEAD request, so that it has no body.
 
-	/** Take in bytes; what follows a whole message is kept for later. @return False once the input is unusable. */
+	/** Parse \a bytes; those behind a complete message are buffered. @return Whether the input is valid so far. */
 	bool Add(std::string_view bytes);
 
-	/** The other side has closed: an answer without a length is whole now. */
+	/** Handle the end of the input, which completes an answer without a length. */
 	void AddEnd();
 
-	/** Go on with what follows the last message. @return As Add(). */
+	/** Continue with the next message. @return Whether the input is valid so far. */
 	bool Resume();
 
-	/** @return Whether it waits behind a whole message. */
+	/** @return Whether the parser stopped after a complete message. */
 	bool IsPaused() const { return this->paused; }
 
-	/** @return Whether a message has begun and is not whole. */
+	/** @return Whether a message has been received in part. */
 	bool IsInsideMessage() const { return this->inside; }
 
-	/** @return Bytes kept behind the last whole message. */
+	/** @return Number of bytes buffered behind the last complete message. */
 	size_t Kept() const { return this->kept.size(); }
 
-	/** @return What was wrong, when Add() or Resume() returned false. */
+	/** @return The error after Add() or Resume() returned false. */
 	HttpReadError Error() const { return this->error; }
 
 	struct Parser;
@@ -74,26 +74,26 @@
 private:
 	bool Run(std::string_view bytes);
 
-	std::unique_ptr<Parser> parser;            ///< http-parser's state.
-	std::string kept;                          ///< Bytes behind a whole message.
-	size_t head_bytes = 0;                     ///< Bytes of the running head.
-	bool paused = false;                       ///< Waits for Resume().
-	bool inside = false;                       ///< Inside a message.
-	HttpReadError error = HttpReadError::None; ///< What was wrong.
+	std::unique_ptr<Parser> parser;            ///< State of http-parser.
+	std::string kept;                          ///< Bytes buffered behind a complete message.
+	size_t head_bytes = 0;                     ///< Size of the current head so far.
+	bool paused = false;                       ///< Stopped until Resume().
+	bool inside = false;                       ///< A message has been received in part.
+	HttpReadError error = HttpReadError::None; ///< Error, if any.
 
 	friend struct Parser;
 };
 
-/** @return The usual text for \a status. */
+/** @return The standard reason phrase for \a status. */
 const char *ReasonPhrase(int status);
 
 /** Append "NAME: VALUE" lines of \a headers to \a out. */
 void AppendHeaders(std::string &out, const HttpHeaders &headers);
 
-/** @return Whether \a name is a field that concerns one connection only, or the framing of one message. */
+/** @return Whether \a name is a hop-by-hop field or one that frames the message. */
 bool IsConnectionField(std::string_view name);
 
-/** @return \a headers without the fields of one connection, those that "Connection" names included. */
+/** @return \a headers without hop-by-hop fields, including those named by "Connection". */
 HttpHeaders WithoutConnectionFields(const HttpHeaders &headers);
 
 } // namespace cottonspool
--- a/src/net/http_upstream.cpp
+++ b/src/net/http_upstream.cpp
@@ -1,38 +1,39 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_upstream.cpp HTTP/1.1 calls over kept connections. */
+/** @file http_upstream.cpp HTTP/1.1 client with a connection pool. */
 
 #include "net/http_upstream.h"
 #include <charconv>
 
 namespace cottonspool {
 
-static constexpr size_t MAX_IDLE_PER_PEER = 16;                         ///< Connections kept to one peer.
-static constexpr Duration IDLE_DEFAULT = std::chrono::seconds(5);       ///< Rest after which a connection is closed if the peer names none.
-static constexpr Duration IDLE_MARGIN = std::chrono::milliseconds(800); ///< Time before the peer's own limit at which we close.
+static constexpr size_t MAX_IDLE_PER_PEER = 16;                   ///< Limit on idle connections per peer.
+static constexpr Duration IDLE_DEFAULT = std::chrono::seconds(5); ///< Idle timeout if the peer does not announce one.
+static constexpr Duration IDLE_MARGIN =
+        std::chrono::milliseconds(800); ///< Time by which a connection is closed before the peer's announced timeout.
 
-/** One connection to a peer, with at most one call. */
+/** A connection to a peer, with at most one call at a time. */
 class UpstreamLink : public std::enable_shared_from_this<UpstreamLink> {
 public:
 	UpstreamLink(HttpUpstream &owner, std::shared_ptr<TcpStream> stream, std::string peer, const Endpoint &to);
 
-	/** Set the functions of the connection. */
+	/** Install the callbacks of the connection. */
 	void Begin();
 
-	/** Send \a call. */
+	/** Send a call over the idle connection. */
 	void Send(uint64_t number, UpstreamCall call);
 
-	/** Close it without a word. */
+	/** Close the connection and remove it from the pool. */
 	void Close();
 
-	UpstreamCall call;                 ///< Call under way.
-	uint64_t number = 0;               ///< Its number; 0 while the connection rests.
-	std::shared_ptr<TcpStream> stream; ///< Connection.
-	std::string peer;                  ///< Name of the other process.
-	Endpoint to;                       ///< Its address.
+	UpstreamCall call;                 ///< Current call.
+	uint64_t number = 0;               ///< Number of the current call; 0 while the connection is idle.
+	std::shared_ptr<TcpStream> stream; ///< TCP connection.
+	std::string peer;                  ///< Name of the server process.
+	Endpoint to;                       ///< Address of the server.
 	TimePoint started;                 ///< When the call was sent.
-	TimePoint rested;                  ///< Since when it rests.
-	Duration keep = IDLE_DEFAULT;      ///< How long it may rest.
+	TimePoint rested;                  ///< When the connection became idle.
+	Duration keep = IDLE_DEFAULT;      ///< Idle time after which it is closed.
 
 private:
 	void OnData(std::string_view bytes);
@@ -42,11 +43,11 @@
 	void EndCall(UpstreamEnd end, const char *cause);
 	void Rest();
 
-	HttpUpstream &owner;                          ///< Owner.
-	HttpReader reader{HttpReader::Kind::Answers}; ///< Reads answers.
-	bool mine = false;                            ///< The answer being read is this call's.
-	bool reusable = false;                        ///< The connection may be kept.
-	bool stray_seen = false;                      ///< An answer of an earlier request came in.
+	HttpUpstream &owner;                          ///< Client with the pool.
+	HttpReader reader{HttpReader::Kind::Answers}; ///< Parser of the answers.
+	bool mine = false;                            ///< The answer being received belongs to the current call.
+	bool reusable = false;                        ///< The server allows reuse after this answer.
+	bool stray_seen = false;                      ///< An answer to an earlier request was received: the connection must not be reused.
 };
 
 UpstreamLink::UpstreamLink(HttpUpstream &owner, std::shared_ptr<TcpStream> stream, std::string peer, const Endpoint &to)
@@ -115,7 +116,7 @@
 {
 	auto keep_alive = this->shared_from_this();
 	if (this->number == 0) {
-		// Bytes on a connection at rest belong to no request.
+		// Bytes on an idle connection belong to no request.
 		this->owner.counters.strays++;
 		return this->Close();
 	}
@@ -127,11 +128,11 @@
 {
 	if (this->number == 0) return;
 	if (this->mine) return this->EndCall(UpstreamEnd::Complete, "");
-	// An interim answer, or one of an earlier request: ours is still to come.
+	// It was an interim answer, or one to an earlier request; the answer to this call is still to come.
 	if (!this->reader.Resume()) this->EndCall(UpstreamEnd::Broken, "bytes that form no answer");
 }
 
-/** @return How a call ended whose connection ended with \a end before its answer was whole. */
+/** @return Outcome of a call whose connection ended with \a end before the answer was complete. */
 static UpstreamEnd EndOf(TcpEnd end)
 {
 	if (end == TcpEnd::Refused) return UpstreamEnd::Refused;
@@ -193,7 +194,7 @@
 {
 	auto found = this->idle.find(call.peer);
 	if (found == this->idle.end() || call.reuse_rest == Duration(0)) return nullptr;
-	// The one that rested least is the least likely to be closed by the other side just now.
+	// The most recently used connection is the least likely to be closed by the server just now.
 	std::shared_ptr<UpstreamLink> link = found->second.back();
 	Duration rest = now - link->rested;
 	if (link->to != call.to || rest > call.reuse_rest || rest > link->keep || link->stream->IsClosed()) return nullptr;
@@ -258,7 +259,7 @@
 	for (const auto &link : late) {
 		auto told = std::move(link->call.on_end);
 		this->Cancel(link->number);
-		if (told) told(UpstreamEnd::NotSent, "no connection in time");
+		if (told) told(UpstreamEnd::NotSent, "connect timed out");
 	}
 	for (auto peer = this->idle.begin(); peer != this->idle.end();) {
 		auto &links = peer->second;
--- a/src/net/http_upstream.h
+++ b/src/net/http_upstream.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_upstream.h HTTP/1.1 calls to targets and to the store, over kept connections, with certainty about what was sent. */
+/** @file http_upstream.h HTTP/1.1 client with a connection pool, which reports whether a failed request may have reached the server. */
 
 #pragma once
 
@@ -13,43 +13,43 @@
 
 class UpstreamLink;
 
-/** How a call ended. */
+/** Outcome of a call. */
 enum class UpstreamEnd : uint8_t {
-	Complete, ///< The whole answer came.
-	NotSent,  ///< Certain: no byte of the request has left.
-	Refused,  ///< The same, as nobody listens there.
-	Broken,   ///< The connection ended before the answer was whole; the other side may have got the request.
+	Complete, ///< The answer was received completely.
+	NotSent,  ///< Certainly no byte of the request was sent.
+	Refused,  ///< The connection was refused; nothing was sent.
+	Broken,   ///< The connection failed before the answer was complete; the server may have received the request.
 };
 
-/** @return Whether it is certain that no byte of a call has left that ended with \a end. */
+/** @return Whether a call that ended with \a end was certainly not sent. */
 inline bool IsUnsent(UpstreamEnd end)
 {
 	return end == UpstreamEnd::NotSent || end == UpstreamEnd::Refused;
 }
 
-/** One call to make. Its functions are called from the loop, never from inside Start(). */
+/** A call. Its callbacks are called from the event loop, never during Start(). */
 struct UpstreamCall {
-	Endpoint to;                                             ///< Where to.
-	std::string peer;                                        ///< Name of the other process: a connection is kept for the same one only.
+	Endpoint to;                                             ///< Address of the server.
+	std::string peer;                                        ///< Name of the server process; connections are reused for the same name only.
 	std::string method = "GET";                              ///< Method.
-	std::string target = "/";                                ///< Path with the query.
-	HttpHeaders headers;                                     ///< Header fields; the length is added.
+	std::string target = "/";                                ///< Path with query.
+	HttpHeaders headers;                                     ///< Header fields without the Content-Length, which is added.
 	std::string body;                                        ///< Body.
-	Duration connect_limit = std::chrono::milliseconds(500); ///< Longest time to connect.
-	Duration reuse_rest = std::chrono::seconds(4);           ///< Longest rest of a connection that may be used; zero asks for a fresh one.
-	std::function<bool(const HttpHead &)> on_head;         ///< Head of an answer; false if it belongs to an earlier request: it is dropped.
-	std::function<void(std::string_view)> on_body;         ///< A part of the body.
-	std::function<void(UpstreamEnd, const char *)> on_end; ///< It is over; the text is the cause.
+	Duration connect_limit = std::chrono::milliseconds(500); ///< Time limit for connecting.
+	Duration reuse_rest = std::chrono::seconds(4); ///< Longest idle time of a pooled connection to be used; zero for a new connection.
+	std::function<bool(const HttpHead &)> on_head; ///< Head of an answer; returns false to drop an answer to an earlier request.
+	std::function<void(std::string_view)> on_body; ///< A part of the body.
+	std::function<void(UpstreamEnd, const char *)> on_end; ///< End of the call; the text is the cause of a failure.
 };
 
-/** Counters of upstream connections. */
+/** Counters of calls and connections. */
 struct UpstreamCounters {
 	uint64_t calls = 0;    ///< Calls started.
 	uint64_t connects = 0; ///< Connections opened.
-	uint64_t strays = 0;   ///< Answers dropped since they belonged to an earlier request.
+	uint64_t strays = 0;   ///< Answers dropped, as they did not belong to the current request.
 };
 
-/** Makes calls and keeps connections. */
+/** HTTP client with a connection pool. */
 class HttpUpstream {
 public:
 	explicit HttpUpstream(uv_loop_s *loop) : loop(loop) {}
@@ -57,25 +57,25 @@
 	HttpUpstream(const HttpUpstream &) = delete;
 	HttpUpstream &operator=(const HttpUpstream &) = delete;
 
-	/** Start \a call. @return Its number. */
+	/** Start \a call. @return Call number. */
 	uint64_t Start(UpstreamCall call);
 
-	/** End a call without any further function being called; the connection is closed. */
+	/** Cancel a call and reset its connection; no callback is called any more. */
 	void Cancel(uint64_t call);
 
-	/** @return Whether the connection of \a call is open, so that the request is on its way. */
+	/** @return Whether the connection of \a call has been established, so that the request may have been sent. */
 	[[nodiscard]] bool IsConnected(uint64_t call) const;
 
-	/** Stop or go on reading the answer of a call. */
+	/** Pause or resume reading the answer of a call. */
 	void SetReading(uint64_t call, bool reading);
 
-	/** Close the kept connections to \a peer. */
+	/** Close the idle connections to \a peer. */
 	void Drop(const std::string &peer);
 
-	/** Time has passed; to be called some times a second. */
+	/** Check timeouts; to be called several times per second. */
 	void OnTick(TimePoint now);
 
-	/** Close everything. */
+	/** Close all connections; no callback is called any more. */
 	void Shutdown();
 
 	/** @return Counters since the start. */
@@ -84,9 +84,9 @@
 private:
 	std::shared_ptr<UpstreamLink> TakeIdle(const UpstreamCall &call, TimePoint now);
 
-	uv_loop_s *loop;                                                      ///< Loop.
-	std::map<uint64_t, std::shared_ptr<UpstreamLink>> active;             ///< Connections with a call.
-	std::map<std::string, std::list<std::shared_ptr<UpstreamLink>>> idle; ///< Kept connections by peer.
+	uv_loop_s *loop;                                                      ///< Event loop.
+	std::map<uint64_t, std::shared_ptr<UpstreamLink>> active;             ///< Connections in use, by call number.
+	std::map<std::string, std::list<std::shared_ptr<UpstreamLink>>> idle; ///< Idle connections by peer.
 	uint64_t next = 1;                                                    ///< Number of the next call.
 	UpstreamCounters counters;                                            ///< Counters.
 
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file tcp_stream.cpp One TCP connection on the libuv loop. */
+/** @file tcp_stream.cpp TCP connections and listeners on a libuv event loop. */
 
 #include "net/tcp_stream.h"
 #include <charconv>
@@ -11,12 +11,13 @@
 
 namespace cottonspool {
 
-static constexpr size_t READ_BUFFER = 64U << 10;          ///< Bytes read at once.
-static constexpr int LISTEN_BACKLOG = 1024;               ///< Connections that may wait to be accepted.
-static constexpr unsigned int UNANSWERED_BYTES_MS = 4000; ///< Time without an acknowledgement after which a connection is dead.
-static constexpr unsigned int KEEPALIVE_IDLE_S = 3;       ///< Silence after which the other side is probed; finds paths cut without notice.
-static constexpr int KEEPALIVE_INTERVAL_S = 1;            ///< Time between such probes.
-static constexpr int KEEPALIVE_PROBES = 3;                ///< Unanswered probes after which a connection is dead.
+static constexpr size_t READ_BUFFER = 64U << 10; ///< Size of the read buffer.
+static constexpr int LISTEN_BACKLOG = 1024;      ///< Connections that the kernel queues until they are accepted.
+static constexpr unsigned int UNANSWERED_BYTES_MS =
+        4000;                                       ///< Time after which unacknowledged bytes make a connection fail (TCP_USER_TIMEOUT).
+static constexpr unsigned int KEEPALIVE_IDLE_S = 3; ///< Idle time before the first TCP keepalive probe.
+static constexpr int KEEPALIVE_INTERVAL_S = 1;      ///< Interval of TCP keepalive probes.
+static constexpr int KEEPALIVE_PROBES = 3;          ///< Unanswered keepalive probes after which a connection fails.
 
 Result<Endpoint> ParseEndpoint(std::string_view text)
 {
@@ -29,18 +30,18 @@
 	return Endpoint{std::string(text.substr(0, colon)), static_cast<uint16_t>(port)};
 }
 
-/** libuv's handle with what keeps the stream alive. */
+/** libuv's handle, which owns the stream until the handle is closed. */
 struct TcpStream::Handle {
 	uv_tcp_t tcp{};                  ///< The handle itself.
-	uv_connect_t connect{};          ///< Request of an outgoing connection.
-	uv_shutdown_t shutdown{};        ///< Request of an orderly close.
-	std::shared_ptr<TcpStream> self; ///< Keeps the stream alive while libuv knows the handle.
+	uv_connect_t connect{};          ///< libuv's request to connect.
+	uv_shutdown_t shutdown{};        ///< libuv's request to shut down.
+	std::shared_ptr<TcpStream> self; ///< Keeps the stream alive.
 };
 
-/** One write that libuv has queued. */
+/** A write in libuv's queue. */
 struct QueuedWrite {
 	uv_write_t request{}; ///< libuv's request.
-	std::string bytes;    ///< Bytes to be written.
+	std::string bytes;    ///< Bytes to write.
 };
 
 TcpStream::TcpStream() : handle(new Handle)
@@ -70,7 +71,7 @@
 	if (failed == 0) {
 		failed = uv_tcp_connect(&stream->handle->connect, &stream->handle->tcp, reinterpret_cast<const sockaddr *>(&address), connected);
 	}
-	// A failure of the call itself is told like any other, from the loop, once the owner has set its functions.
+	// Report an immediate failure from the event loop too, as the owner installs its callbacks only after this function.
 	if (failed != 0) {
 		auto *timer = new uv_timer_t;
 		uv_timer_init(loop, timer);
@@ -118,7 +119,7 @@
 	if (this->closed || this->reading || !this->opened || !this->want_read) return;
 	this->reading = true;
 	auto allocate = [](uv_handle_t *, size_t, uv_buf_t *buffer) {
-		static char shared[READ_BUFFER]; // One loop, one thread: the bytes are handed on before the next read.
+		static char shared[READ_BUFFER]; // Shared by all connections: the bytes are consumed before the next read.
 		*buffer = uv_buf_init(shared, sizeof(shared));
 	};
 	auto read = [](uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer) {
@@ -129,8 +130,8 @@
 
 bool TcpStream::IsReset() const
 {
-	// libuv tells an end as soon as the kernel reports a hang-up behind a partial read, also when it was a reset. Only the
-	// socket itself knows: after an orderly close a read gives nothing, after a reset it gives an error.
+	// libuv reports EOF on a hang-up after a partial read, even if the connection was reset. The socket tells them apart: a read returns 0
+	// after an orderly close and an error after a reset.
 	uv_os_fd_t fd = -1;
 	if (uv_fileno(reinterpret_cast<const uv_handle_t *>(&this->handle->tcp), &fd) != 0) return true;
 	char byte = 0;
@@ -201,7 +202,7 @@
 	return uv_stream_get_write_queue_size(reinterpret_cast<const uv_stream_t *>(&this->handle->tcp));
 }
 
-/** Free \a handle and let go of its stream; the last step of every connection. */
+/** Delete \a handle, which releases its stream. */
 static void FreeHandle(uv_handle_t *handle)
 {
 	auto *owner = reinterpret_cast<TcpStream::Handle *>(handle);
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file tcp_stream.h One TCP connection on the libuv loop. */
+/** @file tcp_stream.h TCP connections and listeners on a libuv event loop. */
 
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace cottonspool {
 
-/** An IPv4 address with a port. */
+/** An IPv4 address and port. */
 struct Endpoint {
 	std::string ip;    ///< Address in dotted form.
 	uint16_t port = 0; ///< Port.
@@ -28,58 +28,58 @@
 	std::string Text() const { return this->ip + ":" + std::to_string(this->port); }
 };
 
-/** Read "IP:PORT". */
+/** Parse "IP:PORT". */
 Result<Endpoint> ParseEndpoint(std::string_view text);
 
-/** How the other side ended a connection. */
+/** How a connection ended, other than by Close() or Abort(). */
 enum class TcpEnd : uint8_t {
-	Refused, ///< It was never open, as nobody listens: no byte has left.
-	Failed,  ///< It was never open for another reason: no byte has left.
-	Closed,  ///< The other side has sent everything and closed.
-	Reset,   ///< It broke: bytes may be lost in both directions.
+	Refused, ///< The connection was refused; nothing was sent.
+	Failed,  ///< Connecting failed in another way; nothing was sent.
+	Closed,  ///< The other side closed it in order.
+	Reset,   ///< It failed or was reset; bytes may be lost in both directions.
 };
 
-/** One TCP connection. It keeps itself alive until it is closed; after Close() or Abort() no function is called any more. */
+/** A TCP connection. The object exists at least until it is closed; after Close() or Abort() no callback is called any more. */
 class TcpStream : public std::enable_shared_from_this<TcpStream> {
 public:
-	std::function<void()> on_open;                    ///< The connection is open (outgoing ones only).
-	std::function<void(std::string_view)> on_data;    ///< Bytes came.
-	std::function<void(TcpEnd, const char *)> on_end; ///< The other side ended it; the text is the cause.
-	std::function<void()> on_drained;                 ///< Everything written has been handed to the kernel after having waited.
+	std::function<void()> on_open;                    ///< The connection was established (outgoing ones only).
+	std::function<void(std::string_view)> on_data;    ///< Bytes were received.
+	std::function<void(TcpEnd, const char *)> on_end; ///< The connection ended; the text is the cause.
+	std::function<void()> on_drained;                 ///< The queue of unsent bytes became empty.
 
 	TcpStream();
 	~TcpStream();
 	TcpStream(const TcpStream &) = delete;
 	TcpStream &operator=(const TcpStream &) = delete;
 
-	/** Begin to connect to \a to; bytes may be written at once. @return The connection; a failure is told through on_end. */
+	/** Connect to \a to; bytes may be written at once. @return The connection; a failure is reported through on_end. */
 	static std::shared_ptr<TcpStream> Connect(uv_loop_s *loop, const Endpoint &to);
 
-	/** Accept a connection of \a listener. @return Null when it is gone already. */
+	/** Accept a connection of \a listener. @return The connection; null if that failed. */
 	static std::shared_ptr<TcpStream> Accept(uv_stream_s *listener);
 
-	/** Send \a bytes after everything written before. */
+	/** Send \a bytes. */
 	void Write(std::string bytes);
 
-	/** Read on, or let the other side wait. */
+	/** Resume or pause reading. */
 	void SetReading(bool reading);
 
-	/** Close without waiting for what is still to be written. */
+	/** Close and discard unsent bytes. */
 	void Close();
 
-	/** Close after everything written has been sent. */
+	/** Close after all bytes written have been sent. */
 	void CloseAfterWrites();
 
-	/** Close so that the other side sees a reset. */
+	/** Reset the connection, if it is open. */
 	void Abort();
 
-	/** @return Bytes written and not yet handed to the kernel. */
+	/** @return Number of bytes that were written but not yet passed to the kernel. */
 	size_t Backlog() const;
 
-	/** @return Whether the connection has been open. */
+	/** @return Whether the connection has been established. */
 	bool WasOpen() const { return this->opened; }
 
-	/** @return Whether nothing more can be written. */
+	/** @return Whether the connection is closed on this side. */
 	bool IsClosed() const { return this->closed; }
 
 	struct Handle;
@@ -92,17 +92,17 @@
 	void SetOptions();
 	bool IsReset() const;
 
-	Handle *handle;         ///< libuv's handle; freed by its close callback.
-	bool opened = false;    ///< Was connected.
-	bool closed = false;    ///< Close() was called or the other side ended it.
-	bool reading = false;   ///< Bytes are being read.
-	bool want_read = true;  ///< Reading is wanted.
-	bool finishing = false; ///< To be closed once everything is written.
+	Handle *handle;         ///< libuv's handle; deleted by its close callback.
+	bool opened = false;    ///< The connection has been established.
+	bool closed = false;    ///< Closed here, or ended by the other side.
+	bool reading = false;   ///< libuv is reading.
+	bool want_read = true;  ///< Reading is not paused.
+	bool finishing = false; ///< Closed once all bytes have been sent.
 
 	friend class TcpListener;
 };
 
-/** Listens on one address. */
+/** Accepts connections on an address. */
 class TcpListener {
 public:
 	using OnStream = std::function<void(std::shared_ptr<TcpStream>)>;
@@ -112,16 +112,16 @@
 	TcpListener(const TcpListener &) = delete;
 	TcpListener &operator=(const TcpListener &) = delete;
 
-	/** Listen on \a at; port 0 takes a free one. @return The port. */
+	/** Listen on \a at; port 0 selects a free one. @return The port. */
 	Result<uint16_t> Listen(const Endpoint &at);
 
-	/** Take no more connections. */
+	/** Stop accepting connections. */
 	void Stop();
 
 private:
 	struct Handle;
-	uv_loop_s *loop;    ///< Loop.
-	OnStream on_stream; ///< Gets each connection.
+	uv_loop_s *loop;    ///< Event loop.
+	OnStream on_stream; ///< Called for each connection.
 	Handle *handle;     ///< libuv's handle; null before Listen() and after Stop().
 };
 
