--- a/src/tests/fake_platform.h
+++ b/src/tests/fake_platform.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file fake_platform.h The platform in memory, with answers that are late, lost or never sent, driven by a seed. */
+/** @file fake_platform.h In-memory platform for unit tests, with late and lost answers and calls that are not sent, chosen by a seed. */
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace cottonspool {
 
-/** A platform whose calls wait until the test lets them go on. */
+/** A platform whose calls proceed when the test runs them. */
 class FakePlatform : public Platform {
 public:
 	explicit FakePlatform(uint64_t seed) : random(seed) {}
@@ -51,7 +51,7 @@
 		this->Later([done = std::move(done)] { done(std::vector<ListedInstance>{}); });
 	}
 
-	/** Let up to \a count waiting steps happen, in a random order. */
+	/** Run up to \a count pending steps, in random order. */
 	void Run(size_t count)
 	{
 		for (size_t i = 0; i < count && !this->waiting.empty(); i++) {
@@ -62,17 +62,17 @@
 		}
 	}
 
-	/** Let everything happen. */
+	/** Run all steps, including those that they add. */
 	void RunAll()
 	{
 		while (!this->waiting.empty()) this->Run(1);
 	}
 
-	double lost_answers = 0;                 ///< Part of the writes whose answers are lost.
-	double not_sent = 0;                     ///< Part of the calls that are not sent.
-	double late_effects = 0;                 ///< Part of the writes that take effect after their answer was given up.
-	bool down = false;                       ///< Nothing can be reached.
-	std::map<std::string, PlatformRow> rows; ///< Table and objects.
+	double lost_answers = 0;                 ///< Fraction of writes whose answers are lost.
+	double not_sent = 0;                     ///< Fraction of calls that are not sent.
+	double late_effects = 0;                 ///< Fraction of writes that take effect after their outcome was reported as unknown.
+	bool down = false;                       ///< The platform is unreachable.
+	std::map<std::string, PlatformRow> rows; ///< Rows and objects by key.
 
 private:
 	bool Draw(double part) { return static_cast<double>(this->random() % 10000) < part * 10000; }
@@ -112,9 +112,9 @@
 		});
 	}
 
-	pcg64 random;                              ///< Chance.
-	std::deque<std::function<void()>> waiting; ///< Steps not yet happened.
-	uint64_t versions = 0;                     ///< Versions given out.
+	pcg64 random;                              ///< Random generator.
+	std::deque<std::function<void()>> waiting; ///< Pending steps.
+	uint64_t versions = 0;                     ///< Number of versions issued.
 };
 
 } // namespace cottonspool
--- a/src/tests/hand_store.h
+++ b/src/tests/hand_store.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file hand_store.h A store whose answers a test gives by hand. */
+/** @file hand_store.h Store for unit tests, whose answers a test gives one by one. */
 
 #pragma once
 
@@ -10,15 +10,15 @@
 
 namespace cottonspool {
 
-/** A store whose answers the test gives by hand. */
+/** A store whose calls wait until the test answers them. */
 class HandStore : public TableStore {
 public:
-	/** One call that waits for its answer. */
+	/** A read that waits for its answer. */
 	struct Waiting {
-		bool changes = false; ///< Changes are asked for.
-		uint64_t version = 0; ///< Since this version.
-		std::string from;     ///< First key.
-		RowsDone done;        ///< Gets the answer.
+		bool changes = false; ///< It is a read of changes, otherwise of a page.
+		uint64_t version = 0; ///< Version number after which changes are requested.
+		std::string from;     ///< Key at which the page starts.
+		RowsDone done;        ///< Callback for the answer.
 	};
 
 	uint64_t ReadRows(const std::string &, const std::string &from, RowsDone done) override
@@ -47,14 +47,14 @@
 
 	void Cancel(uint64_t call) override { this->calls.erase(call); }
 
-	/** One write that waits for its answer. */
+	/** A write or removal that waits for its answer. */
 	struct Write {
 		std::string key;   ///< Key.
 		std::string value; ///< Content; empty for a removal.
-		WriteDone done;    ///< Gets the answer.
+		WriteDone done;    ///< Callback for the answer.
 	};
 
-	/** Answer the newest call. */
+	/** Answer the most recent read. */
 	void Answer(RowsAnswer answer)
 	{
 		REQUIRE(this->calls.contains(this->last));
@@ -63,16 +63,17 @@
 		done(std::move(answer));
 	}
 
+	/** @return The most recent read, which must be unanswered. */
 	Waiting &Newest() { return this->calls.at(this->last); }
 
-	std::map<uint64_t, Waiting> calls; ///< Calls that wait.
-	std::vector<Write> writes;         ///< Rows written.
-	std::vector<Write> removals;       ///< Rows removed.
-	uint64_t last_write = 1ULL << 32;  ///< Number of the newest write.
-	uint64_t last = 0;                 ///< Number of the newest call.
+	std::map<uint64_t, Waiting> calls; ///< Unanswered reads by call number.
+	std::vector<Write> writes;         ///< Writes in order.
+	std::vector<Write> removals;       ///< Removals in order.
+	uint64_t last_write = 1ULL << 32;  ///< Call number of the most recent write or removal.
+	uint64_t last = 0;                 ///< Call number of the most recent read.
 };
 
-/** @return A page that holds a row for each of \a keys. */
+/** @return A page with a row for each of \a keys, all of version \a version. */
 inline RowsAnswer Page(std::vector<std::string> keys, uint64_t version, bool more = false)
 {
 	RowsPage page;
@@ -82,14 +83,14 @@
 	return {page, StoreFailure::NoAnswer, ""};
 }
 
-/** @return \a answer as the life \a era of the store gives it. */
+/** @return \a answer with the store epoch \a era. */
 inline RowsAnswer OfEra(uint64_t era, RowsAnswer answer)
 {
 	answer.era = era;
 	return answer;
 }
 
-/** @return The answer of a store that fails with \a failure. */
+/** @return An answer with \a failure. */
 inline RowsAnswer Failed(StoreFailure failure)
 {
 	return {std::nullopt, failure, "test"};
--- a/src/tests/net_test.cpp
+++ b/src/tests/net_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file net_test.cpp Connections, the HTTP server and the HTTP client, over loopback. */
+/** @file net_test.cpp Guards against lost disconnects, misread messages and repeated sends of the HTTP server and client, over loopback. */
 
 #include "net/http_front.h"
 #include "net/http_upstream.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** A blocking socket of the test's own, either side. */
+/** A plain socket for the other side of a connection. */
 class PlainSocket {
 public:
 	explicit PlainSocket(int fd) : fd(fd) {}
@@ -59,10 +59,10 @@
 		this->fd = -1;
 	}
 
-	int fd; ///< Descriptor.
+	int fd; ///< File descriptor.
 };
 
-/** A loop with a way to run it for a while, and a listening socket of the test's own. */
+/** An event loop that a test runs for a while, and a plain listening socket. */
 struct Bench {
 	Bench() { uv_loop_init(&this->loop); }
 
@@ -98,11 +98,11 @@
 		this->Run(5);
 	}
 
-	uv_loop_t loop{};  ///< Loop.
+	uv_loop_t loop{};  ///< Event loop.
 	int listener = -1; ///< Listening socket.
 };
 
-/** One upstream call and what came of it. */
+/** An upstream call and its recorded result. */
 struct CallProbe {
 	UpstreamCall Make(uint16_t port, const std::string &id)
 	{
@@ -127,13 +127,13 @@
 
 	int status = 0;                          ///< Status.
 	std::string body;                        ///< Body.
-	UpstreamEnd end = UpstreamEnd::Complete; ///< How it ended.
-	int ended = 0;                           ///< How often on_end was called.
+	UpstreamEnd end = UpstreamEnd::Complete; ///< Outcome of the call.
+	int ended = 0;                           ///< Number of calls of on_end.
 };
 
 } // namespace
 
-TEST_CASE("Upstream - an answer without a length is whole after a close, not after a reset")
+TEST_CASE("Upstream - an answer without a length is complete after a close, not after a reset")
 {
 	for (bool reset : {false, true}) {
 		CAPTURE(reset);
@@ -144,7 +144,7 @@
 		upstream.Start(probe.Make(port, "a"));
 		bench.Run(20);
 		PlainSocket peer(bench.Accept());
-		// Both the bytes and the end are there before the loop looks again.
+		// Both the bytes and the end arrive before the event loop runs again.
 		peer.Receive();
 		peer.Send("HTTP/1.1 200 OK\r\nId: a\r\n\r\nhalf of an ans");
 		if (reset) peer.Reset();
@@ -156,7 +156,7 @@
 	}
 }
 
-TEST_CASE("Upstream - a connection is reused, and never sends a request twice when it turns out to be closed")
+TEST_CASE("Upstream - a connection is reused, and a request is not sent twice if the connection was closed")
 {
 	Bench bench;
 	uint16_t port = bench.Listen();
@@ -182,7 +182,7 @@
 	upstream.Shutdown();
 }
 
-TEST_CASE("Upstream - an answer of an earlier request in the place of ours is dropped")
+TEST_CASE("Upstream - an answer to an earlier request is dropped")
 {
 	Bench bench;
 	uint16_t port = bench.Listen();
@@ -206,7 +206,7 @@
 	upstream.Shutdown();
 }
 
-TEST_CASE("Upstream - bytes behind a whole answer belong to nobody, and the connection is not kept")
+TEST_CASE("Upstream - a connection with extra bytes behind an answer is not reused")
 {
 	Bench bench;
 	uint16_t port = bench.Listen();
@@ -226,7 +226,7 @@
 	upstream.Shutdown();
 }
 
-TEST_CASE("Upstream - a connection that cannot be made means that nothing was sent")
+TEST_CASE("Upstream - a refused connection counts as not sent")
 {
 	Bench bench;
 	uint16_t port = bench.Listen();
@@ -242,7 +242,7 @@
 	upstream.Shutdown();
 }
 
-TEST_CASE("Front - a caller who leaves before the first byte of an answer is noticed at once")
+TEST_CASE("Front - a caller that disconnects before the answer is detected at once")
 {
 	for (bool reset : {false, true}) {
 		CAPTURE(reset);
@@ -270,7 +270,7 @@
 	}
 }
 
-TEST_CASE("Front - requests that are sent together are answered one by one, in order")
+TEST_CASE("Front - pipelined requests are answered one by one, in order")
 {
 	Bench bench;
 	std::vector<std::shared_ptr<FrontExchange>> taken;
@@ -290,7 +290,7 @@
 	CHECK(answers.find("one") < answers.find("two"));
 }
 
-TEST_CASE("Front - input that could be read in two ways is refused")
+TEST_CASE("Front - requests with ambiguous framing are rejected")
 {
 	const std::vector<std::string> bad{
 	        "POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -313,7 +313,7 @@
 	}
 }
 
-TEST_CASE("Front - heads and bodies past their limits are refused with the status that says so")
+TEST_CASE("Front - heads and bodies beyond their limits are rejected with 431 and 413")
 {
 	Bench bench;
 	HttpFront front(&bench.loop, [](const std::shared_ptr<FrontExchange> &exchange) { exchange->Respond(200, {}, {}); });
@@ -332,7 +332,7 @@
 	CHECK(long_chunks.Receive().find("HTTP/1.1 413") == 0);
 }
 
-TEST_CASE("Front - an answer that is broken off does not look whole")
+TEST_CASE("Front - an aborted answer does not look complete")
 {
 	Bench bench;
 	std::shared_ptr<FrontExchange> taken;
--- a/src/tests/platform_test.cpp
+++ b/src/tests/platform_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file platform_test.cpp The platform's names and formats, decoded and encoded. */
+/** @file platform_test.cpp Guards against wrong decoding and encoding of the platform's formats, also of invalid input. */
 
 #include "generation/event_splitter.h"
 #include "metrics/line_buffer.h"
@@ -20,7 +20,7 @@
 "listen":{"front":"127.0.0.1:80","ready":"127.0.0.1:81"},"internalPorts":[7200,7215],"heartbeatMs":900,"unknown":{"x":1},
 "limits":{"memoryMb":110},"bounds":{"drainMs":1500,"evacuateMs":4000,"graceS":7,"retryBudgetRatio":0.3,"retrySlack":40},"platform":{"address":"127.0.0.1:90"}})";
 
-TEST_CASE("Platform settings - are read, and unknown fields are passed over")
+TEST_CASE("Platform settings - are parsed, and unknown fields are ignored")
 {
 	Result<NodeSettings> read = ParseNodeSettings(SETTINGS, "file");
 	REQUIRE(read);
@@ -35,7 +35,7 @@
 	CHECK(read.value().bounds.retry_ratio == doctest::Approx(0.3));
 }
 
-TEST_CASE("Platform settings - a fault is named with file and field")
+TEST_CASE("Platform settings - an error names the file and the field")
 {
 	for (const char *bad : {"", "[]", "{}", R"({"nodeName":1})"}) CHECK(!ParseNodeSettings(bad, "file"));
 	std::string text = SETTINGS;
@@ -80,7 +80,7 @@
 		CHECK_FALSE(DecodeConfiguration(text));
 }
 
-TEST_CASE("Platform decoders - whatever bytes come, they end with a value or an error")
+TEST_CASE("Platform decoders - arbitrary bytes lead to a value or an error")
 {
 	bool good = rc::check("bytes", [](const std::string &text) {
 		(void)DecodeConfiguration(text);
@@ -99,7 +99,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Platform rows - an entry of another writer names no target, and takes nothing from the others")
+TEST_CASE("Platform rows - an invalid row is no target, and does not affect other rows")
 {
 	const std::string good =
 	        R"({"service":"a","address":"10.0.0.1:80","zone":"z","capacity":4,"state":"ready","coldRemainingMs":0,"sequence":1})";
@@ -119,7 +119,7 @@
 	}
 	CHECK(DecodeTargetRow({"i-1", changed("}", ",\"born\":1764723600123,\"new\":[1]}"), 1, false}).value().target->life.born ==
 	      1764723600123);
-	// In one answer: bytes that are no base64, no value at all, no object, no key.
+	// Invalid base64, a missing value, an entry that is not an object, and a missing key, in one answer.
 	RowsAnswer answer = DecodeRows(200, R"({"rows":[{"tlsKey":"a","value":"!!","ver":5},{"tlsKey":"b","ver":6},7,{"ver":8},
 	{"tlsKey":"c","value":"e30=","ver":9}],"hasMore":false,"ver":9})");
 	REQUIRE(answer.page);
@@ -130,7 +130,7 @@
 	CHECK_FALSE(DecodeTargetRow(answer.page->rows[0]));
 }
 
-TEST_CASE("Platform numbers - those out of range become the nearest there is, and nothing is undefined")
+TEST_CASE("Platform numbers - numbers out of range are clamped")
 {
 	CHECK(ToWhole<uint32_t>(1e308) == UINT32_MAX);
 	CHECK(ToWhole<uint32_t>(-5) == 0);
@@ -156,7 +156,7 @@
 	CHECK(DecodeRows(200, "{").failure == StoreFailure::Malformed);
 }
 
-TEST_CASE("Platform requests - what only an instance may set is never passed on from a caller")
+TEST_CASE("Platform requests - fields that only an instance may set are not forwarded from callers")
 {
 	HttpHeaders received{{"Host", "h"},
 	                     {"X-Attempt-Id", "AbC"},
@@ -195,7 +195,7 @@
 	CHECK(FindHeader(sent, "Last-Event-Id") == "42");
 }
 
-TEST_CASE("Platform answers - only the target's own word says that a request has not run")
+TEST_CASE("Platform answers - a request counts as not executed only if the target says so")
 {
 	HttpHead head;
 	head.status = 503;
@@ -209,7 +209,7 @@
 	CHECK(ReadAnswer(other).load->waiting == 1);
 }
 
-/** @return What an answer of \a status with \a headers says of its target. */
+/** @return The target's signals in an answer with \a status and \a headers. */
 static TargetSigns SignsOf(int status, HttpHeaders headers)
 {
 	HttpHead head;
@@ -219,7 +219,7 @@
 	return ReadAnswer(head).signs;
 }
 
-TEST_CASE("Platform answers - a target's limit is a decimal number, the lowest of several, and anything else says nothing")
+TEST_CASE("Platform answers - a target's rate limit is the lowest decimal number, and invalid values are ignored")
 {
 	CHECK(SignsOf(200, {}) == TargetSigns{});
 	TargetSigns said = SignsOf(200, {{"server-limit", "2.4"}});
@@ -241,7 +241,7 @@
 	CHECK(ReadAnswer(unstamped).signs == TargetSigns{});
 }
 
-TEST_CASE("Platform answers - a target's leaving is its own plain word, a pause a number of seconds with a 503")
+TEST_CASE("Platform answers - a target announces draining by a header field, and a pause by Retry-After with a 503")
 {
 	CHECK(SignsOf(200, {{"Server-Leaving", "1"}}).leaving);
 	CHECK(!SignsOf(200, {{"Server-Leaving", "0"}}).leaving);
@@ -257,7 +257,7 @@
 	}
 }
 
-TEST_CASE("Platform moves - each answer of an engine has its meaning")
+TEST_CASE("Platform migration - an engine's answer is decoded by its status")
 {
 	CHECK(DecodeMove(200, R"({"handle":"h","createdRev":12})").kind == MoveAnswer::Kind::Copied);
 	CHECK(DecodeMove(200, R"({"handle":"h","createdRev":12})").events == 12);
@@ -268,7 +268,7 @@
 	CHECK(DecodeMove(0, "").kind == MoveAnswer::Kind::NoAnswer);
 }
 
-TEST_CASE("Event splitter - whole events come out byte for byte, however the stream is cut")
+TEST_CASE("Event splitter - complete events are returned unchanged, however the stream is split")
 {
 	bool good = rc::check("cuts", [](const std::vector<uint8_t> &sizes, bool crlf) {
 		const std::string end = crlf ? "\r\n" : "\n";
@@ -296,7 +296,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Log lines - a reader that stops reading costs lines, not time, and is told how many")
+TEST_CASE("Log lines - a stalled reader loses lines without blocking the writer, and gets their number")
 {
 	int ends[2];
 	REQUIRE(pipe(ends) == 0);
--- a/src/tests/sharing_property_test.cpp
+++ b/src/tests/sharing_property_test.cpp
@@ -1,6 +1,7 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file sharing_property_test.cpp Whatever fails, a change of a table is known in time; and the store is not asked by hundreds. */
+/** @file sharing_property_test.cpp Guards against changes of a table that arrive late after failures, and against hundreds of instances
+ * calling the store. */
 
 #include "tests/sharing_world.h"
 #include <doctest/doctest.h>
@@ -10,20 +11,20 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Time after which those that started together have found their order. */
+/** Time in which instances that start together agree on the reader order. */
 static constexpr Duration SETTLED = seconds(4);
 
-TEST_CASE("Sharing - of 295 instances in five halls one reads a table, and all know a change within a tenth of a second")
+TEST_CASE("Sharing - one of 295 instances in five halls reads a table, and all receive a change within 100 ms")
 {
 	SharingWorld world({5, 59});
 	world.Pass(SETTLED);
-	// Each reads the table whole at its start; nobody follows it until they have heard of each other.
+	// Each instance reads one snapshot at its start; none polls before it has heard from its peers.
 	CHECK(world.Calls() <= world.Size() + 20);
 	CHECK(world.OnlyReader() >= 0);
 	uint64_t before = world.Calls();
 	world.Pass(seconds(10));
 	CHECK(world.OnlyReader() >= 0);
-	// A call hangs for half a second when nothing changes. With a reader in each hall it was five times as many.
+	// A long poll without a change takes half a second, so that one reader makes about two calls per second.
 	CHECK(world.Calls() - before <= 21);
 	TimePoint written = world.Now();
 	uint64_t version = world.Write();
@@ -31,7 +32,7 @@
 	CHECK(world.Behind(version, written) == 0);
 }
 
-TEST_CASE("Sharing - all 295 instances that end at once and start again ask the store no more than once each")
+TEST_CASE("Sharing - 295 instances that restart at the same time call the store about once each")
 {
 	SharingWorld world({5, 59});
 	world.Pass(SETTLED);
@@ -48,7 +49,7 @@
 	CHECK(world.OnlyReader() >= 0);
 }
 
-TEST_CASE("Sharing - a change is known in time at all who reach the store, whoever ends, is cut off or turned away")
+TEST_CASE("Sharing - a change arrives in time at all instances that can reach the store, despite crashes and partitions")
 {
 	bool good = rc::check("whatever fails", [] {
 		SharingLayout layout{*rc::gen::inRange<size_t>(2, 6), *rc::gen::inRange<size_t>(2, 10)};
@@ -86,7 +87,7 @@
 			world.Pass(world.Bound());
 			RC_ASSERT(world.Behind(version, written) == 0U);
 		}
-		// Once all is well again one instance reads for all, however the halls were cut before.
+		// After all failures have ended there is one reader again.
 		for (size_t hall = 0; hall < layout.halls; hall++) world.Heal(hall);
 		for (size_t i = 0; i < world.Size(); i++) {
 			world.Restart(i);
@@ -98,7 +99,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Sharing - a store that comes back from a copy is asked a bounded number of times, and what is written then is known in time")
+TEST_CASE("Sharing - a store that was restored from a backup gets a bounded number of calls, and later changes arrive in time")
 {
 	for (auto [halls, per_hall] : {std::pair<size_t, size_t>{2, 4}, {2, 31}, {5, 59}}) {
 		SharingWorld world({halls, per_hall});
@@ -123,8 +124,7 @@
 	}
 }
 
-TEST_CASE(
-        "Sharing - a change made after the store came back from a copy is known in time, whatever else fails, however often it comes back")
+TEST_CASE("Sharing - a change made after a restore of the store arrives in time, despite other failures and repeated restores")
 {
 	bool good = rc::check("copies", [] {
 		SharingLayout layout{*rc::gen::inRange<size_t>(2, 5), *rc::gen::inRange<size_t>(1, 11)};
@@ -133,7 +133,7 @@
 		auto any = [&] { return *rc::gen::inRange<size_t>(0, world.Size()); };
 		for (int step = 0; step < 8; step++) {
 			world.TakeCopy();
-			// As many writes are lost as are made before the next change, or more, or fewer.
+			// The restore loses some writes: as many as are made after it, or more, or fewer.
 			for (int i = *rc::gen::inRange(0, 3); i > 0; i--) world.Write();
 			world.WriteElsewhere(*rc::gen::inRange<uint64_t>(0, 4));
 			world.Pass(milliseconds(*rc::gen::inRange(0, 900)));
--- a/src/tests/sharing_world.cpp
+++ b/src/tests/sharing_world.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file sharing_world.cpp Hundreds of instances that share the reading of one table, in simulated time. */
+/** @file sharing_world.cpp Simulation of hundreds of instances that share a table. */
 
 #include "tests/sharing_world.h"
 #include "platform/node_settings.h"
@@ -10,34 +10,34 @@
 
 using std::chrono::milliseconds;
 
-static constexpr Duration TICK = milliseconds(25);        ///< Time between ticks, as at a gateway.
-static constexpr Duration HOP = milliseconds(3);          ///< Time of a message from one instance to another.
-static constexpr Duration STORE_ANSWER = milliseconds(7); ///< Time of an answer of the store.
+static constexpr Duration TICK = milliseconds(25);        ///< Interval of an instance's ticks, as in production.
+static constexpr Duration HOP = milliseconds(3);          ///< Latency of a message between instances.
+static constexpr Duration STORE_ANSWER = milliseconds(7); ///< Latency of the store.
 
-/** One instance. */
+/** A simulated instance. */
 struct SharingWorld::Instance {
 	size_t number = 0;                        ///< Number.
-	std::string name;                         ///< Name; its address is the same text.
+	std::string name;                         ///< Name, which is its address too.
 	size_t hall = 0;                          ///< Data hall.
-	uint64_t life = 0;                        ///< Starts so far.
-	bool alive = false;                       ///< It runs.
-	bool store_reachable = true;              ///< The store answers it.
-	TimePoint reachable_since;                ///< Since when it has run and reached the store.
+	uint64_t life = 0;                        ///< Incarnation: counts starts and crashes.
+	bool alive = false;                       ///< It is running.
+	bool store_reachable = true;              ///< The store answers its calls.
+	TimePoint reachable_since;                ///< When it was last started, or its connection to the store restored.
 	TimePoint started;                        ///< When it started.
-	TimePoint readers_at;                     ///< When it last looked who reads for whom.
-	TimePoint heartbeat_at;                   ///< When it last gave a sign of life.
-	std::map<std::string, TimePoint> heard;   ///< Peers by the time at which they were last heard.
-	std::map<std::string, LinkState> links;   ///< Links that it dialled.
-	std::set<std::string> relays;             ///< Those of them that only news of tables go to.
-	std::unique_ptr<TableStore> store;        ///< Store as it sees it.
-	std::unique_ptr<TableWatch> watch;        ///< Follows the table.
-	uint64_t content = 0;                     ///< What it knows; like a configuration, never an older one than before.
-	StoreVersion read;                        ///< Version at which the row was written that it took in last.
-	std::unique_ptr<TableSharing> sharing;    ///< Shares the reading.
+	TimePoint readers_at;                     ///< When it last updated the reader order.
+	TimePoint heartbeat_at;                   ///< When it last sent a heartbeat.
+	std::map<std::string, TimePoint> heard;   ///< Time of the last heartbeat by peer.
+	std::map<std::string, LinkState> links;   ///< State of its outgoing links by peer.
+	std::set<std::string> relays;             ///< Peers in other halls to which it sends table updates only.
+	std::unique_ptr<TableStore> store;        ///< Its client of the store.
+	std::unique_ptr<TableWatch> watch;        ///< Its view of the table.
+	uint64_t content = 0;                     ///< Newest content that it has received.
+	StoreVersion read;                        ///< Version of the row that it received last.
+	std::unique_ptr<TableSharing> sharing;    ///< Under test.
 	std::unique_ptr<PeerDirectory> directory; ///< Other instances.
 };
 
-/** The store as one instance sees it. */
+/** An instance's client of the simulated store. */
 class SharingWorld::View : public TableStore {
 public:
 	View(SharingWorld &world, Instance &instance) : world(world), instance(instance) {}
@@ -78,8 +78,8 @@
 		return call;
 	}
 
-	SharingWorld &world; ///< World.
-	Instance &instance;  ///< Who sees it so.
+	SharingWorld &world; ///< Simulation.
+	Instance &instance;  ///< Instance that makes the calls.
 };
 
 SharingWorld::SharingWorld(SharingLayout layout) : layout(layout), limits(GatewayLimitsFor(NodeSettings{}))
@@ -97,13 +97,13 @@
 
 SharingWorld::~SharingWorld()
 {
-	// Instances cancel their calls as they go.
+	// Instances cancel their calls on destruction, so that the maps of calls must still exist.
 	this->instances.clear();
 }
 
 double SharingWorld::LinkOf(size_t number) const
 {
-	static constexpr size_t FAST = 3; // Instances of each hall with faster links.
+	static constexpr size_t FAST = 3; // Number of instances with faster links, per hall.
 	return number % this->layout.per_hall < FAST ? 200 : 20;
 }
 
@@ -153,7 +153,7 @@
 		this->Tell(instance, {instance.name, "hall-" + std::to_string(instance.hall), false, {news}}, {});
 	};
 	instance.watch->Start(this->now);
-	// Ticks of different instances don't fall together.
+	// Spread the ticks of different instances.
 	uint64_t life = ++instance.life;
 	this->After(TICK * static_cast<int>(number % 25) / 25, [this, &instance, life] {
 		if (instance.life == life) this->Tick(instance);
@@ -200,7 +200,7 @@
 void SharingWorld::Answer(uint64_t call, RowsAnswer answer)
 {
 	auto found = this->open_calls.find(call);
-	// A store that cannot be reached says nothing at all: the caller has to give the call up by itself.
+	// An unreachable store never answers; the caller has to time out.
 	if (found == this->open_calls.end() || !this->ReachesStore(*this->caller[call])) return;
 	TableStore::RowsDone done = std::move(found->second);
 	this->open_calls.erase(found);
--- a/src/tests/sharing_world.h
+++ b/src/tests/sharing_world.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file sharing_world.h Hundreds of instances that share the reading of one table, in simulated time and without a network. */
+/** @file sharing_world.h Simulation of hundreds of instances that share a table, in simulated time and without a network. */
 
 #pragma once
 
@@ -13,95 +13,96 @@
 
 namespace cottonspool {
 
-/** How the simulated world is laid out. */
+/** Size of the simulation. */
 struct SharingLayout {
 	size_t halls = 5;     ///< Data halls.
-	size_t per_hall = 59; ///< Instances in each.
+	size_t per_hall = 59; ///< Instances per data hall.
 };
 
-/** Instances, the store that they read and the links between them. */
+/** Simulates instances, the store that they read, and the links between them. */
 class SharingWorld {
 public:
 	explicit SharingWorld(SharingLayout layout);
 	~SharingWorld();
 
-	/** Let \a time pass. */
+	/** Advance the simulated time by \a time. */
 	void Pass(Duration time);
 
-	/** Change the table. @return Its content, which the instances are to know. */
+	/** Change the content of the table. @return The new content. */
 	uint64_t Write();
 
-	/** Write to other tables \a times, which the store's versions count too. */
+	/** Advance the version of the store by \a times writes to other tables. */
 	void WriteElsewhere(uint64_t times) { this->state.version += times; }
 
-	/** The store keeps a copy of itself. */
+	/** Take a backup of the store. */
 	void TakeCopy() { this->copy = this->state; }
 
-	/** The store is away: it answers nobody. */
+	/** Make the store unavailable to all instances. */
 	void LoseStore() { this->store_away = true; }
 
 	/**
-	 * It comes back from its copy, in its next era.
-	 * @param late Calls that wait are answered as of before, each after a time of its own up to this one; otherwise they hang on.
+	 * Restore the store from its backup, in the next epoch, and make it available.
+	 * @param late Pending long polls are answered with the state before the restore, after different delays up to this one; nothing to
+	 * leave them unanswered.
 	 */
 	void ComeBack(std::optional<Duration> late);
 
-	/** What was written last is written again, as the store may have lost it. @return Its content. */
+	/** Write the last content again, as a restore may have lost it. @return The content. */
 	uint64_t WriteAgain();
 
-	/** An instance ends without a word. */
+	/** Crash an instance. */
 	void Kill(size_t instance);
 
-	/** It starts again and knows nothing. */
+	/** Restart an instance without any state. */
 	void Restart(size_t instance);
 
-	/** A hall is cut off from the other halls, and from the store too if \a from_store. */
+	/** Partition a data hall from the other ones, and from the store if \a from_store. */
 	void Cut(size_t hall, bool from_store);
 
-	/** It is no longer cut off. */
+	/** End the partition of a data hall. */
 	void Heal(size_t hall);
 
-	/** The store says nothing to an instance any more, or does again. */
+	/** Set whether the store answers an instance. */
 	void SetStoreReachable(size_t instance, bool reachable);
 
-	/** @return Instances that run, can reach the store and have done so since \a since, but don't know \a content or a later one. */
+	/** @return Number of instances that have been able to reach the store since \a since, but don't have \a content or newer. */
 	size_t Behind(uint64_t content, TimePoint since) const;
 
-	/** @return Times that an instance was told, as news, of content older than it had. */
+	/** @return Number of times that an instance took in changes older than its state. */
 	uint64_t Reverts() const { return this->reverts; }
 
 	/** @return Number of instances. */
 	size_t Size() const;
 
-	/** @return Calls to the store so far. */
+	/** @return Number of calls to the store. */
 	uint64_t Calls() const { return this->calls; }
 
-	/** @return The time. */
+	/** @return The simulated time. */
 	TimePoint Now() const { return this->now; }
 
-	/** @return The instance that reads the table for all; -1 if it is not exactly one. */
+	/** @return The instance that reads the table from the store; -1 if there is not exactly one. */
 	int OnlyReader() const;
 
-	/** @return Time within which a change has to be known everywhere. */
+	/** @return Time limit for a change to arrive at all instances. */
 	Duration Bound() const;
 
-	/** @return The hall of \a instance. */
+	/** @return Data hall of \a instance. */
 	size_t HallOf(size_t instance) const { return instance / this->layout.per_hall; }
 
 private:
 	struct Instance;
 	class View;
 
-	/** Something that happens at a time. */
+	/** A scheduled event. */
 	struct Event {
-		TimePoint at;               ///< When.
-		uint64_t order;             ///< Order among those of the same time.
-		std::function<void()> what; ///< What.
+		TimePoint at;               ///< Time of the event.
+		uint64_t order;             ///< Order among events of the same time.
+		std::function<void()> what; ///< What happens.
 		bool operator<(const Event &other) const { return std::tie(this->at, this->order) < std::tie(other.at, other.order); }
 	};
 
 	void After(Duration time, std::function<void()> what);
-	/** @return Speed of the link of \a instance, in Mbit/s. */
+	/** @return Bandwidth of the network link of \a instance, in Mbit/s. */
 	double LinkOf(size_t instance) const;
 	void Tick(Instance &instance);
 	void Dial(Instance &instance);
@@ -116,33 +117,33 @@
 	void WakeHanging();
 	Instance &Find(const std::string &address) { return *this->by_address.at(address); }
 
-	SharingLayout layout;                                ///< Layout.
-	GatewayLimits limits;                                ///< Limits as on the platform.
-	std::vector<std::unique_ptr<Instance>> instances;    ///< Instances; those of a hall side by side.
-	std::map<std::string, Instance *> by_address;        ///< The same by address.
-	std::set<size_t> cut_halls;                          ///< Halls cut off from the others.
-	std::set<size_t> cut_from_store;                     ///< Halls cut off from the store.
-	std::set<Event> events;                              ///< What is to come.
-	std::map<uint64_t, TableStore::RowsDone> open_calls; ///< Calls that wait for an answer.
-	std::map<uint64_t, uint64_t> hanging;                ///< Those that wait for a change, with the version since which.
-	std::map<uint64_t, Instance *> caller;               ///< Who made each.
-	/** What the store holds. */
+	SharingLayout layout;                                ///< Size of the simulation.
+	GatewayLimits limits;                                ///< Limits as in production.
+	std::vector<std::unique_ptr<Instance>> instances;    ///< Instances, ordered by data hall.
+	std::map<std::string, Instance *> by_address;        ///< Instances by address.
+	std::set<size_t> cut_halls;                          ///< Data halls partitioned from the others.
+	std::set<size_t> cut_from_store;                     ///< Data halls partitioned from the store.
+	std::set<Event> events;                              ///< Scheduled events.
+	std::map<uint64_t, TableStore::RowsDone> open_calls; ///< Unanswered calls by call number.
+	std::map<uint64_t, uint64_t> hanging;  ///< Pending long polls: the version number after which changes are requested, by call number.
+	std::map<uint64_t, Instance *> caller; ///< Caller by call number.
+	/** State of the store. */
 	struct State {
-		uint64_t version = 1; ///< Counter of all its writes.
-		uint64_t written = 1; ///< Version at which the table was written.
-		uint64_t content = 1; ///< What was written.
+		uint64_t version = 1; ///< Version number: counts all writes.
+		uint64_t written = 1; ///< Version number of the last write to the table.
+		uint64_t content = 1; ///< Content of the table.
 	};
 
-	State state;                                         ///< Store.
-	State copy;                                          ///< Copy that it keeps.
-	uint64_t era = 1;                                    ///< Which life of the store it is.
-	uint64_t newest = 1;                                 ///< Content that was written last, also if the store has lost it.
-	uint64_t reverts = 0;                                ///< Changes told that took an instance back within one era.
-	bool store_away = false;                             ///< It answers nobody.
-	uint64_t next_call = 1;                              ///< Number of the next call.
-	uint64_t next_order = 1;                             ///< Order of the next event.
-	uint64_t calls = 0;                                  ///< Calls made.
-	TimePoint now = TimePoint{} + std::chrono::hours(1); ///< Clock.
+	State state;                                         ///< Current state.
+	State copy;                                          ///< State in the backup.
+	uint64_t era = 1;                                    ///< Store epoch.
+	uint64_t newest = 1;                                 ///< Content that was written last, even if a restore lost it.
+	uint64_t reverts = 0;                                ///< Number of times that an instance took in changes older than its state.
+	bool store_away = false;                             ///< The store is unavailable to all instances.
+	uint64_t next_call = 1;                              ///< Next call number.
+	uint64_t next_order = 1;                             ///< Order number of the next event.
+	uint64_t calls = 0;                                  ///< Number of calls.
+	TimePoint now = TimePoint{} + std::chrono::hours(1); ///< Simulated time.
 };
 
 } // namespace cottonspool
--- a/src/tests/store_copy_test.cpp
+++ b/src/tests/store_copy_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file store_copy_test.cpp What is true although a store that came back from a copy has forgotten it, or lists it again. */
+/** @file store_copy_test.cpp Guards against taking over outdated or missing rows after the store was restored from a backup. */
 
 #include "decision/place_table.h"
 #include "decision/target_registry.h"
@@ -32,7 +32,7 @@
 	return {id, std::nullopt};
 }
 
-/** @return The changes in \a events for \a id: "usable", "leaving". */
+/** @return The changes in \a events for the target \a id: "usable" or "leaving" for each. */
 std::string Told(const std::vector<TargetEvent> &events, const std::string &id)
 {
 	std::string text;
@@ -42,7 +42,7 @@
 	return text;
 }
 
-/** A registry that knows targets a to d, of which b has left with notice and c without. */
+/** A registry with targets a to d, of which b is draining and the row of c was removed. */
 struct CopyWorld {
 	CopyWorld()
 	{
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("Store copy - a target that has left is not believed to be there because the copy still lists it")
+TEST_CASE("Store restore - a removed target is not used again because the backup still lists it")
 {
 	CopyWorld world;
 	world.registry.OnOtherStore(world.now);
@@ -69,12 +69,12 @@
 	CHECK(Told(events, "c").empty());
 	world.now += seconds(5);
 	CHECK(world.registry.OnTick(world.now).empty());
-	// Its removal is written again, and changes nothing; nor does the copy's next whole read.
+	// Neither a repeated removal nor another snapshot of the backup changes that.
 	CHECK(world.registry.OnChanges({Gone("c")}, world.now).empty());
 	CHECK(Told(world.registry.OnAll({Row("a", 5), Row("c", 5), Row("d", 5)}, world.now), "c").empty());
 }
 
-TEST_CASE("Store copy - a target that was taken for gone and lives is used once it says so, or after a while")
+TEST_CASE("Store restore - a live target that had expired is used once it sends a heartbeat, or after a time limit")
 {
 	{
 		CopyWorld world;
@@ -96,7 +96,7 @@
 	}
 }
 
-TEST_CASE("Store copy - a target that the copy does not list yet is used on, for as long as live ones need to write their rows again")
+TEST_CASE("Store restore - a target missing from the backup stays in use until live targets must have rewritten their rows")
 {
 	CopyWorld world;
 	world.registry.OnOtherStore(world.now);
@@ -105,7 +105,7 @@
 	CHECK(Told(world.registry.OnTick(world.now + RegistryLimits{}.lapse_grace), "d") == "leaving");
 }
 
-TEST_CASE("Store copy - a hall that is emptied stays so until the operators say otherwise, for a bounded time")
+TEST_CASE("Store restore - an evacuated hall stays evacuated until the operator reinstates it, for a bounded time")
 {
 	TimePoint now = MonotonicNow();
 	PlaceTable places("a", {{"a", "r"}, {"b", "r"}});
@@ -114,12 +114,12 @@
 	places.SetAllListed({});
 	CHECK(places.Emptied(now) == std::set<std::string>{"b"});
 	CHECK(places.Emptied(now + seconds(9)) == std::set<std::string>{"b"});
-	// A second return within that time doesn't shorten it.
+	// A second restore within that time doesn't shorten it.
 	places.OnOtherStore(now + seconds(9));
 	places.SetAllListed({});
 	CHECK(places.Emptied(now + seconds(18)) == std::set<std::string>{"b"});
 	CHECK(places.Emptied(now + seconds(20)).empty());
-	// Written again: it holds without an end, until it is taken back.
+	// Once the row is rewritten the evacuation holds until it is withdrawn.
 	places.SetListed("b", true);
 	places.OnOtherStore(now);
 	places.SetAllListed({"b"});
@@ -131,7 +131,7 @@
 
 namespace {
 
-/** Ends of targets under requests, with a store that is answered by hand. */
+/** Crash records, with a store answered by the test. */
 struct EndsWorld {
 	void Pass(Duration time)
 	{
@@ -139,7 +139,7 @@
 		this->records.OnTick(this->now);
 	}
 
-	/** The store has come back from a copy that holds \a ends. */
+	/** The store was restored from a backup with the records \a ends. */
 	void ComeBack(const std::vector<EndRecord> &ends)
 	{
 		this->records.OnOtherStore();
@@ -149,8 +149,8 @@
 	}
 
 	HandStore store;                ///< Store.
-	std::vector<EndRecord> added;   ///< Told as added.
-	std::vector<EndRecord> removed; ///< Told as removed.
+	std::vector<EndRecord> added;   ///< Reported as added.
+	std::vector<EndRecord> removed; ///< Reported as removed.
 	TimePoint now = MonotonicNow(); ///< Clock.
 	EndRecords records{this->store, WatchLimits{}, EndRecordLimits{}, "g1",
 	                   [this](const std::vector<EndRecord> &more, const std::vector<EndRecord> &gone, TimePoint) {
@@ -164,8 +164,7 @@
 
 } // namespace
 
-TEST_CASE(
-        "Store copy - ends that it has forgotten stay held against their request and are written again, first by the one whose turn it is")
+TEST_CASE("Store restore - crash records missing from the backup stay in force and are rewritten, first by the instance in charge")
 {
 	for (bool first : {true, false}) {
 		EndsWorld world;
@@ -181,7 +180,7 @@
 		REQUIRE(!world.store.writes.empty());
 		CHECK(ParseEndKey(world.store.writes[0].key) == TWO);
 	}
-	// Those whose turn it is not leave it when the row is there again.
+	// Other instances don't rewrite a row that has reappeared.
 	EndsWorld world;
 	world.records.writes_first = [](const EndRecord &) { return false; };
 	world.ComeBack({ONE, TWO});
@@ -191,12 +190,12 @@
 	world.Pass(EndRecordLimits{}.others_after);
 	CHECK(world.store.writes.empty());
 	CHECK(world.records.Holds(TWO));
-	// A row that is missing from a whole read of the same store was taken out.
+	// A row that is missing from a snapshot of the same epoch was removed.
 	world.records.Watch().on_all({{EndKey(ONE), "", 5, false}}, world.now);
 	CHECK(world.removed == std::vector<EndRecord>{TWO});
 }
 
-TEST_CASE("Store copy - a write that was under way when the store came back is made again, whatever the former store did with it")
+TEST_CASE("Store restore - a write in flight during the restore is repeated")
 {
 	EndsWorld world;
 	world.Pass(milliseconds(25));
@@ -210,7 +209,7 @@
 	CHECK(world.records.Waiting() == 1);
 }
 
-TEST_CASE("Store copy - an end that was taken out is not held against its request again because the copy still has it")
+TEST_CASE("Store restore - a removed crash record does not count again because the backup still has it")
 {
 	EndsWorld world;
 	world.Pass(milliseconds(25));
@@ -227,7 +226,7 @@
 	CHECK(ParseEndKey(world.store.removals[1].key) == ONE);
 }
 
-TEST_CASE("Store copy - an instance whose own row is forgotten writes it again, not all of them at once")
+TEST_CASE("Store restore - instances rewrite their own missing rows, at different times")
 {
 	std::set<int64_t> written_after;
 	for (int i = 0; i < 12; i++) {
@@ -254,7 +253,7 @@
 			store.Answer(OfEra(1, {page, StoreFailure::NoAnswer, ""}));
 			exchange.Watch().SetPatience(Duration(0));
 			exchange.Watch().OnTick(now + seconds(1));
-			// The store has come back, and lacks the row.
+			// The restored store lacks the row.
 			store.Answer(OfEra(2, Failed(StoreFailure::HistoryGone)));
 			store.Answer(OfEra(2, Page({}, 3)));
 			for (int64_t ms = 0; store.writes.size() == 1 && ms <= 1100; ms += 25) {
--- a/src/tests/store_era_test.cpp
+++ b/src/tests/store_era_test.cpp
@@ -1,6 +1,7 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file store_era_test.cpp Following a table of a store that comes back from a copy and gives its versions out a second time. */
+/** @file store_era_test.cpp Guards against stale or mixed views after a restore of the store, which issues its version numbers a second
+ * time. */
 
 #include "tests/hand_store.h"
 #include <doctest/doctest.h>
@@ -10,7 +11,7 @@
 
 namespace {
 
-/** A watch that has read its table whole at version 90 of era 1. */
+/** A watch that has read a snapshot at version 90 of epoch 1. */
 struct EraWorld {
 	EraWorld()
 	{
@@ -35,7 +36,7 @@
 		this->watch.OnTick(this->now);
 	}
 
-	/** Leave the reading to others, and answer the call under way. */
+	/** Make a peer the reader, and answer the pending call. */
 	void LeaveItToOthers()
 	{
 		this->watch.SetPatience(milliseconds(4000));
@@ -47,13 +48,13 @@
 	HandStore store;                                                                     ///< Store.
 	TimePoint now = MonotonicNow();                                                      ///< Clock.
 	TableWatch watch{this->store, "table", WatchLimits{}, [this] { return this->now; }}; ///< Under test.
-	std::vector<std::string> heard;                                                      ///< What it told, with the keys of the rows.
-	std::vector<StoreChange> met;                                                        ///< Other stores that it met.
+	std::vector<std::string> heard; ///< Reported snapshots and changes, with the keys of their rows.
+	std::vector<StoreChange> met;   ///< Reported changes of the store epoch.
 };
 
 } // namespace
 
-TEST_CASE("Store era - a store that comes back far below what is known is read whole and taken in at once")
+TEST_CASE("Store epoch - a snapshot of a restored store is taken in at once, although its version number is lower")
 {
 	EraWorld world;
 	world.store.Answer(OfEra(2, Failed(StoreFailure::HistoryGone)));
@@ -68,7 +69,7 @@
 	CHECK(world.store.Newest().version == 10);
 }
 
-TEST_CASE("Store era - a feed that is not refused, as its number was given out again, leads to a whole read all the same")
+TEST_CASE("Store epoch - changes from another epoch lead to a snapshot, even if the version number matches")
 {
 	EraWorld world;
 	world.store.Answer(OfEra(2, Page({}, 90)));
@@ -79,7 +80,7 @@
 	CHECK(world.watch.Version() == StoreVersion{2, 90});
 }
 
-TEST_CASE("Store era - a refusal tells it too, and the pause after it is kept")
+TEST_CASE("Store epoch - a rejected call reports the epoch too, and its backoff is kept")
 {
 	EraWorld world;
 	world.store.Answer(OfEra(2, Failed(StoreFailure::Refused)));
@@ -94,7 +95,7 @@
 	CHECK(world.heard == std::vector<std::string>{"all b"});
 }
 
-TEST_CASE("Store era - pages of two eras are never put together")
+TEST_CASE("Store epoch - pages of two epochs are never combined")
 {
 	EraWorld world;
 	world.store.Answer(OfEra(1, Failed(StoreFailure::HistoryGone)));
@@ -107,7 +108,7 @@
 	CHECK(world.heard == std::vector<std::string>{"all d"});
 }
 
-TEST_CASE("Store era - the whole table is taken from another instance that has met the new store, changes of it are not")
+TEST_CASE("Store epoch - a peer's snapshot of a later epoch is taken in, changes of a later epoch are not")
 {
 	EraWorld world;
 	world.LeaveItToOthers();
@@ -116,11 +117,11 @@
 	CHECK(world.watch.Version() == StoreVersion{2, 12});
 	REQUIRE(world.met.size() == 1);
 	CHECK(world.met[0].told);
-	// The next changes follow on it.
+	// Later changes apply to it.
 	world.watch.OnNews({"table", {2, 12}, {2, 14}, false, true, {{"c", "v", 14, false}}}, world.now);
 	CHECK(world.heard == std::vector<std::string>{"all b", "changes c"});
 	CHECK(world.store.calls.empty());
-	// Of the era after it only changes are heard: what it lost is not among them.
+	// Changes of the next epoch don't suffice, as they don't include what the restore lost.
 	world.watch.OnNews({"table", {3, 11}, {3, 95}, false, true, {{"d", "v", 95, false}}}, world.now);
 	CHECK(world.heard.size() == 2);
 	world.Pass(milliseconds(25));
@@ -131,7 +132,7 @@
 	CHECK(world.store.calls.empty());
 }
 
-TEST_CASE("Store era - an empty table is known by a sign of life, without a call")
+TEST_CASE("Store epoch - a heartbeat suffices for an empty table, without a call")
 {
 	EraWorld world;
 	world.LeaveItToOthers();
@@ -142,7 +143,7 @@
 	CHECK(world.store.calls.empty());
 }
 
-TEST_CASE("Store era - whoever has not met the new store is not heard: not its rows, not its sign of life")
+TEST_CASE("Store epoch - updates of an earlier epoch are ignored, rows and heartbeats alike")
 {
 	EraWorld world;
 	world.LeaveItToOthers();
@@ -152,15 +153,15 @@
 		world.watch.OnNews({"table", {1, 90}, {1, 95}, false, true, {{"x", "v", 95, false}}}, world.now);
 	}
 	CHECK(world.heard == std::vector<std::string>{"all b"});
-	// It reads by itself, as it would if it heard nothing at all.
+	// They don't count as heartbeats either: this instance takes over.
 	CHECK(world.store.calls.size() == 1);
 }
 
-TEST_CASE("Store era - a call that began before the new store was known is not believed, one that began after it is")
+TEST_CASE("Store epoch - a call that began before the new epoch was known is cancelled, one that began after it counts")
 {
 	EraWorld world;
 	REQUIRE(world.store.Newest().changes);
-	// News come while a call to the former store is under way: its answer is of no use any more.
+	// The update cancels the pending call of the former epoch.
 	world.watch.OnNews({"table", {2, 0}, {2, 12}, true, true, {{"b", "v", 12, false}}}, world.now);
 	CHECK(world.store.calls.empty());
 	world.Pass(milliseconds(25));
@@ -170,7 +171,7 @@
 	CHECK(world.heard == std::vector<std::string>{"all b", "changes c"});
 }
 
-TEST_CASE("Store era - an era that the store itself does not know is asked after once, and not for ever")
+TEST_CASE("Store epoch - an epoch that the store does not know leads to one read only")
 {
 	EraWorld world;
 	world.LeaveItToOthers();
@@ -181,7 +182,7 @@
 	CHECK(world.watch.Version() == StoreVersion{1, 95});
 	world.Pass(milliseconds(25));
 	CHECK(world.store.calls.empty());
-	// Rows of such an era are given up as soon as the store is asked.
+	// A snapshot of such an epoch is replaced as soon as the store is read.
 	world.watch.OnNews({"table", {999, 0}, {999, 7}, true, true, {{"x", "v", 7, false}}}, world.now);
 	CHECK(world.watch.Version() == StoreVersion{999, 7});
 	world.watch.SetPatience(Duration(0));
--- a/src/tests/table_sharing_test.cpp
+++ b/src/tests/table_sharing_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_sharing_test.cpp One instance reads a table of the store for its peers. */
+/** @file table_sharing_test.cpp Guards against several readers of a table, and against a late takeover from a failed one. */
 
 #include "core/hash_func.h"
 #include "store/table_sharing.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** A table that one instance follows, and shares. */
+/** A shared table with a store of its own. */
 struct SharedWatch {
 	SharedWatch(TableSharing &sharing, std::string table, TimePoint &now)
 	    : watch(this->store, std::move(table), WatchLimits{}, [&now] { return now; })
@@ -23,10 +23,10 @@
 	}
 
 	HandStore store;  ///< Store.
-	TableWatch watch; ///< Follows the table.
+	TableWatch watch; ///< View of the table.
 };
 
-/** @return A name that comes before or behind "self" in the order of those that read \a first and \a second. */
+/** @return Name of a peer that follows "self" in the reader order of \a first and precedes it in that of \a second. */
 std::string PeerFor(const std::string &first, const std::string &second)
 {
 	for (int i = 0;; i++) {
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("Sharing - an instance that reads one table for its peers leaves the others to those that read them")
+TEST_CASE("Sharing - the reader of one table does not read other tables, which have other readers")
 {
 	TimePoint now = MonotonicNow();
 	TableSharing sharing("self", "hall-a");
@@ -48,7 +48,7 @@
 	sharing.SetReaders({{"self", 10}, {peer, 10}}, {}, false);
 	sharing.OnTick(now);
 	CHECK(own.watch.ReadsItself(now));
-	// The peer gives signs of life for longer than the patience of any reader.
+	// The peer sends heartbeats for longer than the takeover time of any instance.
 	for (int i = 0; i < 20; i++) {
 		now += milliseconds(500);
 		sharing.OnNews(peer, "hall-a", {"other", {0, 5}, {0, 5}, false, true, {}}, now);
@@ -60,7 +60,7 @@
 	CHECK(other.watch.ReadsItself(now));
 }
 
-TEST_CASE("Sharing - one instance reads a table for all halls, and the first of the next hall takes over before others")
+TEST_CASE("Sharing - one instance reads a table for all halls, and the first instance of the next hall is the first to take over")
 {
 	TimePoint now = MonotonicNow();
 	const std::vector<std::string> halls{"hall-a", "hall-b", "hall-c"};
@@ -86,7 +86,7 @@
 	}
 }
 
-TEST_CASE("Sharing - the reader of one hall stops when one of a hall before it reads, and goes on while one behind it does")
+TEST_CASE("Sharing - a reader yields to one of a hall earlier in the order, but not to one of a later hall")
 {
 	TimePoint now = MonotonicNow();
 	const std::vector<std::string> halls = RendezvousChoice("table", {"hall-a", "hall-b", "hall-c"}, 3);
--- a/src/tests/table_watch_test.cpp
+++ b/src/tests/table_watch_test.cpp
@@ -1,6 +1,7 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_watch_test.cpp Following a table of a store that fails in every way. */
+/** @file table_watch_test.cpp Guards against stale views, needless calls and late recovery of a table watch when the store or peers fail.
+ */
 
 #include "tests/hand_store.h"
 #include <doctest/doctest.h>
@@ -10,6 +11,7 @@
 
 namespace {
 
+/** A table watch that is started, with a store answered by the test. */
 struct WatchWorld {
 	WatchWorld()
 	{
@@ -29,15 +31,15 @@
 	HandStore store;                                                                     ///< Store.
 	TableWatch watch{this->store, "table", WatchLimits{}, [this] { return this->now; }}; ///< Under test.
 	TimePoint now = MonotonicNow();                                                      ///< Clock.
-	std::vector<size_t> all;                                                             ///< Sizes of whole reads.
-	std::vector<size_t> changes;                                                         ///< Sizes of changes.
-	int lost = 0;                                                                        ///< Losses told.
-	int regained = 0;                                                                    ///< Returns told.
+	std::vector<size_t> all;                                                             ///< Number of rows of each snapshot.
+	std::vector<size_t> changes;                                                         ///< Number of rows of each set of changes.
+	int lost = 0;                                                                        ///< Outages reported.
+	int regained = 0;                                                                    ///< Recoveries reported.
 };
 
 } // namespace
 
-TEST_CASE("Watch - a table of several pages is taken in whole, and followed from the version of its first page")
+TEST_CASE("Watch - a snapshot of several pages is complete, and changes are read from the version of its first page")
 {
 	WatchWorld world;
 	world.store.Answer(Page({"a", "b"}, 10, true));
@@ -49,7 +51,7 @@
 	CHECK(world.store.Newest().version == 10);
 }
 
-TEST_CASE("Watch - history that is gone leads to a whole read, without a loss being told")
+TEST_CASE("Watch - a truncated change history leads to a snapshot, and does not count as an outage")
 {
 	WatchWorld world;
 	world.store.Answer(Page({"a"}, 10));
@@ -60,7 +62,7 @@
 	CHECK(world.lost == 0);
 }
 
-TEST_CASE("Watch - a read that is older than what is known is not taken in")
+TEST_CASE("Watch - a snapshot older than the local view is dropped")
 {
 	WatchWorld world;
 	world.store.Answer(Page({"a"}, 10));
@@ -72,7 +74,7 @@
 	CHECK(world.all == std::vector<size_t>{1, 2});
 }
 
-TEST_CASE("Watch - one that hears of the table leaves the reading to others, and reads when it hears nothing or is behind")
+TEST_CASE("Watch - an instance that receives updates does not poll, and reads when updates stop or one was missed")
 {
 	WatchWorld world;
 	world.watch.SetPatience(milliseconds(1300));
@@ -83,7 +85,7 @@
 	CHECK(world.changes == std::vector<size_t>{1});
 	CHECK(world.watch.Version() == StoreVersion{0, 12});
 	CHECK(world.store.calls.empty());
-	// News that were lost on the way: a later one does not fit, so the rest is read here.
+	// An update was lost, so that the next one does not apply and the changes are read from the store.
 	world.watch.OnNews({"table", {0, 14}, {0, 15}, false, true, {{"d", "v", 15, false}}}, world.now);
 	CHECK(world.changes == std::vector<size_t>{1});
 	world.Pass(milliseconds(20));
@@ -98,18 +100,18 @@
 	CHECK(world.store.calls.size() == 1);
 }
 
-TEST_CASE("Watch - writes to other tables, which the store counts too, make nobody read again")
+TEST_CASE("Watch - writes to other tables, which advance the store's version too, cause no read")
 {
 	WatchWorld world;
 	world.watch.SetPatience(milliseconds(1300));
 	world.store.Answer(Page({"a"}, 10));
-	// Another instance has read the same last change, at another version of the store.
+	// A peer knows the same last change, while the version of the store advances.
 	for (int i = 0; i < 10; i++) {
 		world.watch.OnNews({"table", {0, 10}, {0, 10}, false, true, {}}, world.now);
 		world.Pass(milliseconds(300));
 		CHECK(world.store.calls.empty());
 	}
-	// A removal that a whole read cannot show is looked for once.
+	// A newer version without rows, such as a deletion, is read once.
 	world.watch.OnNews({"table", {0, 14}, {0, 14}, false, true, {}}, world.now);
 	world.Pass(milliseconds(20));
 	REQUIRE(world.store.calls.size() == 1);
@@ -121,7 +123,7 @@
 	}
 }
 
-TEST_CASE("Watch - the others are told only what the store has just confirmed, and take over in time when it confirms nothing")
+TEST_CASE("Watch - only reads that the store confirmed are published, and a peer takes over when there are none")
 {
 	WatchWorld world;
 	int told = 0;
@@ -129,10 +131,10 @@
 	world.store.Answer(Page({"a"}, 10));
 	world.store.Answer(Page({}, 11));
 	CHECK(told == 2);
-	// Its next call hangs: nothing is told meanwhile, however long it lasts.
+	// The next call is not answered: nothing is published meanwhile.
 	for (int i = 0; i < 30; i++) world.Pass(milliseconds(50));
 	CHECK(told == 2);
-	// One that only catches up tells nothing either.
+	// An instance that reads only what it missed does not publish it.
 	WatchWorld other;
 	int told_by_other = 0;
 	other.watch.on_read = [&](const TableNews &) { told_by_other++; };
@@ -143,14 +145,14 @@
 	other.Pass(milliseconds(20));
 	other.store.Answer(Page({"b"}, 12));
 	CHECK(told_by_other == 0);
-	// After its patience it reads, and tells that it does.
+	// After its takeover time it becomes the reader and publishes that.
 	other.Pass(milliseconds(820));
 	REQUIRE(other.store.calls.size() == 1);
 	other.store.Answer(Page({}, 13));
 	CHECK(told_by_other == 1);
 }
 
-TEST_CASE("Watch - a change is read at once, those that follow in a burst together")
+TEST_CASE("Watch - a change is read at once, and further ones of a burst in one call")
 {
 	WatchWorld world;
 	world.store.Answer(Page({"a"}, 10));
@@ -161,12 +163,12 @@
 	world.Pass(milliseconds(60));
 	REQUIRE(world.store.calls.size() == 1);
 	CHECK(world.store.Newest().version == 12);
-	// An answer without a change is no burst: the store is asked again at once.
+	// After an answer without changes the next poll starts at once.
 	world.store.Answer(Page({}, 12));
 	CHECK(world.store.calls.size() == 1);
 }
 
-TEST_CASE("Watch - of two that have lost the store one asks whether it is back, and the other reads as soon as it is")
+TEST_CASE("Watch - of two watches without the store one probes it, and the other reads as soon as it is available")
 {
 	WatchWorld first;
 	WatchWorld second;
@@ -195,7 +197,7 @@
 	CHECK(!second.watch.IsLost());
 }
 
-TEST_CASE("Watch - one that is cut off and has to read what could not be passed on asks with growing pauses, whatever others tell")
+TEST_CASE("Watch - an instance cut off from the store backs off its reads, whatever its peers publish")
 {
 	WatchWorld world;
 	world.watch.SetPatience(milliseconds(1300));
@@ -216,7 +218,7 @@
 	CHECK(world.changes == std::vector<size_t>{1});
 }
 
-TEST_CASE("Watch - news that come again after a silence end a pause at once, for the store is back")
+TEST_CASE("Watch - the first update after an outage ends the backoff")
 {
 	WatchWorld world;
 	world.watch.SetPatience(milliseconds(1300));
@@ -225,7 +227,7 @@
 		world.Pass(milliseconds(50));
 		if (!world.store.calls.empty()) world.store.Answer(Failed(StoreFailure::Refused));
 	}
-	// The pauses have grown to their longest.
+	// The backoff has grown to its maximum.
 	for (int i = 0; i < 100; i++) {
 		world.Pass(milliseconds(50));
 		if (!world.store.calls.empty()) world.store.Answer(Failed(StoreFailure::Refused));
@@ -239,7 +241,7 @@
 	CHECK(world.changes == std::vector<size_t>{1});
 }
 
-TEST_CASE("Watch - a store that says nothing is given up in time, asked again with pauses, and its return is told")
+TEST_CASE("Watch - calls to a silent store time out and are retried with backoff, and its recovery is reported")
 {
 	WatchWorld world;
 	world.store.Answer(Page({"a"}, 10));
@@ -262,7 +264,7 @@
 	CHECK(!world.watch.IsLost());
 }
 
-TEST_CASE("Watch - a table is not read before it is told to, however often time passes")
+TEST_CASE("Watch - a table is not read before it is started")
 {
 	HandStore store;
 	TimePoint now = MonotonicNow();
@@ -274,7 +276,7 @@
 	CHECK(store.calls.size() == 1);
 }
 
-TEST_CASE("Watch - one that leaves the reading to others catches up once when told to")
+TEST_CASE("Watch - an instance that is not the reader reads once when it has to catch up")
 {
 	WatchWorld world;
 	world.watch.SetPatience(std::chrono::seconds(3600));
@@ -291,7 +293,7 @@
 
 namespace {
 
-/** Two tables, the second of which is read where the first is. */
+/** A leading table and one that is coupled to it. */
 struct LedWorld {
 	LedWorld()
 	{
@@ -309,18 +311,18 @@
 		this->led.OnTick(this->now);
 	}
 
-	HandStore lead_store;                                                                   ///< Answers for the first.
-	HandStore led_store;                                                                    ///< Answers for the second.
+	HandStore lead_store;                                                                   ///< Store of the leading table.
+	HandStore led_store;                                                                    ///< Store of the coupled table.
 	TimePoint now = MonotonicNow();                                                         ///< Clock.
-	TableWatch lead{this->lead_store, "lead", WatchLimits{}, [this] { return this->now; }}; ///< Leads.
+	TableWatch lead{this->lead_store, "lead", WatchLimits{}, [this] { return this->now; }}; ///< Leading table.
 	TableWatch led{this->led_store, "led", WatchLimits{.wait = std::chrono::seconds(10)}, [this] { return this->now; }}; ///< Under test.
-	size_t changes = 0; ///< Rows told as changed.
-	size_t all = 0;     ///< Rows told in whole reads.
+	size_t changes = 0; ///< Number of changed rows.
+	size_t all = 0;     ///< Number of rows in snapshots.
 };
 
 } // namespace
 
-TEST_CASE("Watch - a table read with another one costs a call only where that one is read")
+TEST_CASE("Watch - a coupled table is read only by the reader of its leading table")
 {
 	LedWorld world;
 	world.lead.SetPatience(std::chrono::seconds(5));
@@ -328,7 +330,7 @@
 	world.led.Start(world.now);
 	world.Pass(milliseconds(100));
 	CHECK(world.led_store.calls.empty());
-	// Rows that follow on what is known (nothing) are taken in; those that don't are read here, whole.
+	// An update that applies to the empty view is taken in; after one that does not, a snapshot is read.
 	world.led.OnNews({"led", {0, 0}, {0, 20}, false, true, {{"x", "v", 20, false}}}, world.now);
 	CHECK(world.changes == 1);
 	world.led.OnNews({"led", {0, 30}, {0, 30}, false, true, {}}, world.now);
@@ -339,12 +341,12 @@
 	CHECK(world.all == 2);
 	world.Pass(milliseconds(100));
 	CHECK(world.led_store.calls.empty());
-	// Nobody is heard any more: the first table is taken over, and this one with it.
+	// The updates stop: this instance becomes the reader of the leading table, and of this one.
 	world.Pass(std::chrono::seconds(6));
 	CHECK(world.led_store.calls.size() == 1);
 }
 
-TEST_CASE("Watch - a table read with another one is given up with it, and asked for at once when that one is back")
+TEST_CASE("Watch - a coupled table becomes unavailable and available again with its leading table")
 {
 	LedWorld world;
 	world.led.Start(world.now);
@@ -366,7 +368,7 @@
 	CHECK_FALSE(world.led.IsLost());
 }
 
-TEST_CASE("Watch - an instance that starts takes the whole table from another one, and reads it only if nobody tells it in time")
+TEST_CASE("Watch - an instance that starts gets a snapshot from a peer, and reads it from the store only if none arrives in time")
 {
 	TimePoint now = MonotonicNow();
 	for (bool told : {true, false}) {
@@ -383,7 +385,7 @@
 		watch.OnTick(now);
 		CHECK(store.calls.empty());
 		CHECK(watch.IsWanted());
-		// Changes of what it does not know tell it nothing.
+		// Changes don't apply before the first snapshot.
 		watch.OnNews({"table", {0, 6}, {0, 7}, false, true, {{"x", "v", 7, false}}, {0, 7}}, now);
 		CHECK_FALSE(watch.IsKnown());
 		if (told) watch.OnNews({"table", {}, {0, 9}, true, true, {{"a", "v", 5, false}, {"b", "v", 9, false}}, {0, 40}}, now);
@@ -393,7 +395,7 @@
 		if (!told) store.Answer(Page({"a", "b"}, 9));
 		CHECK(rows == std::vector<std::string>{"a", "b"});
 		CHECK_FALSE(watch.IsWanted());
-		// By now it can hand the table on itself, with what has changed since.
+		// Now it can serve a snapshot itself, which includes later changes.
 		watch.OnNews({"table", {0, 9}, {0, 12}, false, true, {{"a", "", 12, true}, {"c", "v", 11, false}}, {0, 12}}, now);
 		std::optional<TableNews> whole = watch.Whole();
 		REQUIRE(whole);
@@ -405,7 +407,7 @@
 	}
 }
 
-TEST_CASE("Watch - changes that concern nobody here are told without rows, and nobody reads them")
+TEST_CASE("Watch - changes that concern no instance are published without rows, and are not read again")
 {
 	TimePoint now = MonotonicNow();
 	HandStore store;
@@ -428,13 +430,13 @@
 	CHECK(member.RowsVersion() == reader.RowsVersion());
 	member.OnTick(now);
 	CHECK(other_store.calls.empty());
-	// A sign of life that is ahead still means that there is more to read.
+	// A heartbeat with a newer version still advertises changes to be read.
 	member.OnNews({"table", {0, 9}, {0, 9}, false, true, {}, {0, 9}}, now);
 	member.OnTick(now);
 	CHECK(other_store.calls.size() == 1);
 }
 
-TEST_CASE("Watch - who takes the reading over goes on from the version that was last told, which the store still remembers")
+TEST_CASE("Watch - a takeover continues from the last published version, for which the store still has history")
 {
 	TimePoint now = MonotonicNow();
 	HandStore store;
