--- /dev/null
+++ b/src/decision/target_placement.cpp
@@ -0,0 +1,56 @@
+/* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
+
+/** @file target_placement.cpp Which targets may get new work by where they are, whether they are cold, and what they say of themselves. */
+
+#include "decision/placement_table.h"
+#include "decision/target_table.h"
+
+namespace cottonspool {
+
+void TargetTable::SetEvacuatedHalls(const std::set<std::string> &halls)
+{
+	this->evacuated_halls = halls;
+	for (TargetState &target : this->targets) target.restrictions.evacuated = halls.contains(target.hall);
+}
+
+void TargetTable::SetCold(TargetNumber number, TimePoint end, RateShare share)
+{
+	TargetState &target = this->targets[number.value];
+	target.restrictions.cold.SetShare(share);
+	target.restrictions.cold.ExtendTo(end);
+}
+
+AdmissionVerdict TargetTable::CheckAdmission(const TargetState &target, const CallSpec &call, TimePoint now)
+{
+	if (!target.models.contains(call.model)) return {Restriction::OtherPool};
+	if (!MayRunIn(call, target.hall)) return {Restriction::OtherHall};
+	return target.restrictions.CheckAdmission(now, call.exclude_cold);
+}
+
+TimePoint TargetTable::FreeAt(const CallSpec &call, TimePoint now, RestrictionCounts *counts) const
+{
+	TimePoint free_at = TimePoint::max();
+	for (TargetNumber number : this->ForModel(call.model)) {
+		AdmissionVerdict verdict = CheckAdmission(this->Get(number), call, now);
+		(*counts)[static_cast<size_t>(verdict.bound)]++;
+		// A probe may end, and a first report may come, at any moment.
+		bool soon = verdict.IsFree() || verdict.bound == Restriction::Probing || verdict.bound == Restriction::Unlisted;
+		free_at = std::min(free_at, soon ? now : verdict.until);
+	}
+	return free_at;
+}
+
+bool TargetTable::OnSignals(TargetNumber target, const TargetSignals &signals, TimePoint asked, TimePoint now)
+{
+	TargetState &state = this->targets[target.value];
+	// A shorter pause that is asked for later takes nothing from a longer one.
+	state.restrictions.paused_until = std::max(state.restrictions.paused_until, now + signals.pause);
+	return state.restrictions.limit.OnAnswer(signals, asked, now);
+}
+
+void TargetTable::OnRequestSent(TargetNumber target, TimePoint now)
+{
+	this->targets[target.value].restrictions.OnSent(now);
+}
+
+} // namespace cottonspool
--- /dev/null
+++ b/src/decision/target_prefill.cpp
@@ -0,0 +1,47 @@
+/* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
+
+/** @file target_prefill.cpp How long engines need for the prompts that they have not read yet. */
+
+#include "decision/target_table.h"
+#include <algorithm>
+
+namespace cottonspool {
+
+static constexpr uint32_t PREFILL_SAMPLE_MIN_TOKENS = 256; ///< Shortest prompt that tells how fast prompts are read.
+static constexpr double PREFILL_RATE_SMOOTHING = 0.05;     ///< Weight of the newest such figure.
+static constexpr double PREFILL_RATE_MIN = 500;            ///< Least such figure believed, in tokens a second.
+static constexpr double PREFILL_RATE_MAX = 50000;          ///< Largest such figure believed, in tokens a second.
+
+void TargetTable::OnPrefillQueued(TargetState &target, InFlightCall &flight, TimePoint now) const
+{
+	if (!target.engine || flight.generated > 0) return;
+	flight.prefills_alone = target.pending_prefills == 0;
+	if (flight.prefills_alone) target.prefill_done_at = now;
+	target.pending_prefills++;
+	target.prefill_done_at = std::max(now, target.prefill_done_at) + FromSeconds(flight.call.prompt_tokens / this->prefill_rate);
+}
+
+void TargetTable::OnPrefillDone(TargetState &target, const InFlightCall &flight, TimePoint now)
+{
+	if (!target.engine || target.pending_prefills == 0) return;
+	target.pending_prefills--;
+	if (!flight.prefills_alone || flight.generated == 0) return;
+	double took = Seconds(now - flight.sent);
+	if (took <= 0 || flight.call.prompt_tokens < PREFILL_SAMPLE_MIN_TOKENS) return;
+	double rate = std::clamp(flight.call.prompt_tokens / took, PREFILL_RATE_MIN, PREFILL_RATE_MAX);
+	this->prefill_rate += PREFILL_RATE_SMOOTHING * (rate - this->prefill_rate);
+}
+
+Duration TargetTable::PrefillWait(const TargetState &target, TimePoint now)
+{
+	if (target.pending_prefills == 0) return Duration(0);
+	return std::max(Duration(0), std::chrono::duration_cast<Duration>(target.prefill_done_at - now));
+}
+
+Duration TargetTable::FirstTokenWait(const TargetState &target, const CallSpec &call, TimePoint now) const
+{
+	Duration told = std::chrono::duration_cast<Duration>(target.remote_prefill_done_at - now);
+	return std::max(told, PrefillWait(target, now)) + FromSeconds(call.prompt_tokens / this->prefill_rate);
+}
+
+} // namespace cottonspool
--- a/src/net/http_front.h
+++ b/src/net/http_front.h
@@ -26,12 +26,12 @@
 /** A request and its answer. */
 class FrontExchange {
 public:
-	HttpHead head;                    ///< Head of the request.
-	std::string body;                 ///< Body of the request.
-	Endpoint from;                    ///< Address of the caller.
-	TimePoint read_at;                ///< When the request was received completely.
-	std::function<void()> on_gone;    ///< The caller disconnected before the answer was complete.
-	std::function<void()> on_drained; ///< All bytes written so far have been sent.
+	HttpHead head;                       ///< Head of the request.
+	std::string body;                    ///< Body of the request.
+	Endpoint from;                       ///< Address of the caller.
+	TimePoint read_at;                   ///< When the request was received completely.
+	std::function<void()> on_disconnect; ///< The caller disconnected before the answer was complete.
+	std::function<void()> on_drained;    ///< All bytes written so far have been sent.
 
 	/** Send a complete answer. */
 	void Respond(int status, const HttpHeaders &headers, std::string_view answer_body, std::string_view reason = {});
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -52,7 +52,7 @@
 	bool Add(std::string_view bytes);
 
 	/** Handle the end of the input, which completes an answer without a length. */
-	void AddEnd();
+	void AddEof();
 
 	/** Continue with the next message. @return Whether the input is valid so far. */
 	bool Resume();
@@ -64,7 +64,7 @@
 	bool IsInsideMessage() const { return this->inside; }
 
 	/** @return Number of bytes buffered behind the last complete message. */
-	size_t Kept() const { return this->kept.size(); }
+	size_t BufferedBytes() const { return this->buffered.size(); }
 
 	/** @return The error after Add() or Resume() returned false. */
 	HttpReadError Error() const { return this->error; }
@@ -72,10 +72,10 @@
 	struct Parser;
 
 private:
-	bool Run(std::string_view bytes);
+	bool Parse(std::string_view bytes);
 
 	std::unique_ptr<Parser> parser;            ///< State of http-parser.
-	std::string kept;                          ///< Bytes buffered behind a complete message.
+	std::string buffered;                      ///< Bytes buffered behind a complete message.
 	size_t head_bytes = 0;                     ///< Size of the current head so far.
 	bool paused = false;                       ///< Stopped until Resume().
 	bool inside = false;                       ///< A message has been received in part.
--- a/src/net/http_upstream.h
+++ b/src/net/http_upstream.h
@@ -11,7 +11,7 @@
 
 namespace cottonspool {
 
-class UpstreamLink;
+class UpstreamConnection;
 
 /** Outcome of a call. */
 enum class UpstreamEnd : uint8_t {
@@ -22,31 +22,31 @@
 };
 
 /** @return Whether a call that ended with \a end was certainly not sent. */
-inline bool IsUnsent(UpstreamEnd end)
+inline bool IsCertainlyUnsent(UpstreamEnd end)
 {
 	return end == UpstreamEnd::NotSent || end == UpstreamEnd::Refused;
 }
 
 /** A call. Its callbacks are called from the event loop, never during Start(). */
 struct UpstreamCall {
-	Endpoint to;                                             ///< Address of the server.
-	std::string peer;                                        ///< Name of the server process; connections are reused for the same name only.
-	std::string method = "GET";                              ///< Method.
-	std::string target = "/";                                ///< Path with query.
-	HttpHeaders headers;                                     ///< Header fields without the Content-Length, which is added.
-	std::string body;                                        ///< Body.
-	Duration connect_limit = std::chrono::milliseconds(500); ///< Time limit for connecting.
-	Duration reuse_rest = std::chrono::seconds(4); ///< Longest idle time of a pooled connection to be used; zero for a new connection.
-	std::function<bool(const HttpHead &)> on_head; ///< Head of an answer; returns false to drop an answer to an earlier request.
-	std::function<void(std::string_view)> on_body; ///< A part of the body.
+	Endpoint to;                ///< Address of the server.
+	std::string peer;           ///< Name of the server process; connections are reused for the same name only.
+	std::string method = "GET"; ///< Method.
+	std::string target = "/";   ///< Path with query.
+	HttpHeaders headers;        ///< Header fields without the Content-Length, which is added.
+	std::string body;           ///< Body.
+	Duration connect_timeout = std::chrono::milliseconds(500); ///< Time limit for connecting.
+	Duration max_reuse_idle = std::chrono::seconds(4); ///< Longest idle time of a pooled connection to be used; zero for a new connection.
+	std::function<bool(const HttpHead &)> on_head;     ///< Head of an answer; returns false to drop an answer to an earlier request.
+	std::function<void(std::string_view)> on_body;     ///< A part of the body.
 	std::function<void(UpstreamEnd, const char *)> on_end; ///< End of the call; the text is the cause of a failure.
 };
 
 /** Counters of calls and connections. */
 struct UpstreamCounters {
-	uint64_t calls = 0;    ///< Calls started.
-	uint64_t connects = 0; ///< Connections opened.
-	uint64_t strays = 0;   ///< Answers dropped, as they did not belong to the current request.
+	uint64_t calls = 0;         ///< Calls started.
+	uint64_t connects = 0;      ///< Connections opened.
+	uint64_t stray_answers = 0; ///< Answers dropped, as they did not belong to the current request.
 };
 
 /** HTTP client with a connection pool. */
@@ -70,7 +70,7 @@
 	void SetReading(uint64_t call, bool reading);
 
 	/** Close the idle connections to \a peer. */
-	void Drop(const std::string &peer);
+	void CloseIdle(const std::string &peer);
 
 	/** Check timeouts; to be called several times per second. */
 	void OnTick(TimePoint now);
@@ -82,15 +82,15 @@
 	const UpstreamCounters &Counters() const { return this->counters; }
 
 private:
-	std::shared_ptr<UpstreamLink> TakeIdle(const UpstreamCall &call, TimePoint now);
+	std::shared_ptr<UpstreamConnection> AcquireIdle(const UpstreamCall &call, TimePoint now);
 
-	uv_loop_s *loop;                                                      ///< Event loop.
-	std::map<uint64_t, std::shared_ptr<UpstreamLink>> active;             ///< Connections in use, by call number.
-	std::map<std::string, std::list<std::shared_ptr<UpstreamLink>>> idle; ///< Idle connections by peer.
-	uint64_t next = 1;                                                    ///< Number of the next call.
-	UpstreamCounters counters;                                            ///< Counters.
+	uv_loop_s *loop;                                                            ///< Event loop.
+	std::map<uint64_t, std::shared_ptr<UpstreamConnection>> active;             ///< Connections in use, by call number.
+	std::map<std::string, std::list<std::shared_ptr<UpstreamConnection>>> idle; ///< Idle connections by peer.
+	uint64_t next = 1;                                                          ///< Number of the next call.
+	UpstreamCounters counters;                                                  ///< Counters.
 
-	friend class UpstreamLink;
+	friend class UpstreamConnection;
 };
 
 } // namespace cottonspool
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -92,12 +92,12 @@
 	void SetOptions();
 	bool IsReset() const;
 
-	Handle *handle;         ///< libuv's handle; deleted by its close callback.
-	bool opened = false;    ///< The connection has been established.
-	bool closed = false;    ///< Closed here, or ended by the other side.
-	bool reading = false;   ///< libuv is reading.
-	bool want_read = true;  ///< Reading is not paused.
-	bool finishing = false; ///< Closed once all bytes have been sent.
+	Handle *handle;                    ///< libuv's handle; deleted by its close callback.
+	bool opened = false;               ///< The connection has been established.
+	bool closed = false;               ///< Closed here, or ended by the other side.
+	bool reading = false;              ///< libuv is reading.
+	bool want_read = true;             ///< Reading is not paused.
+	bool closing_after_writes = false; ///< Closed once all bytes have been sent.
 
 	friend class TcpListener;
 };
--- a/src/platform/node_settings.h
+++ b/src/platform/node_settings.h
@@ -13,9 +13,9 @@
 /** Time limits and retry limits that the platform requires of the instances. */
 struct PlatformBounds {
 	Duration drain{std::chrono::seconds(2)};         ///< Time from a target's drain notice until it must get no new requests.
-	Duration in_force{std::chrono::seconds(2)};      ///< Time within which a new configuration has to be in force.
+	Duration config_apply{std::chrono::seconds(2)};  ///< Time within which a new configuration has to be in force.
 	Duration empty{std::chrono::seconds(2)};         ///< Time until an evacuated hall must get no new requests.
-	Duration contact{std::chrono::seconds(3)};       ///< Time after an outage until the limits apply again, also to changes made during it.
+	Duration recovery{std::chrono::seconds(3)};      ///< Time after an outage until the limits apply again, also to changes made during it.
 	Duration stop_grace{std::chrono::seconds(8)};    ///< Time between SIGTERM and SIGKILL.
 	double retry_ratio = 0.2;                        ///< Retries per request that all instances together may send.
 	Duration retry_window{std::chrono::seconds(10)}; ///< Time window for that ratio.
@@ -36,8 +36,8 @@
 	Duration heartbeat{std::chrono::milliseconds(1200)}; ///< Interval of the targets' heartbeats.
 	double link_mbps = 0;                                ///< Bandwidth of the instance's network link, in Mbit/s; 0 if unknown.
 	uint64_t memory_mb = 0;                              ///< Memory limit of the process, in MB; 0 if unknown.
-	bool first_start = false;                            ///< The entire system starts for the first time.
-	PlatformBounds bounds;                               ///< Required limits.
+	bool bootstrap = false;                              ///< The entire system starts for the first time.
+	PlatformBounds platform_bounds;                      ///< Required limits.
 };
 
 /** Parse settings from JSON \a text. @param file File name for error messages. */
--- a/src/platform/platform_base.h
+++ b/src/platform/platform_base.h
@@ -26,8 +26,8 @@
 
 /** An entry of the platform's instance list, which may be out of date. */
 struct ListedInstance {
-	std::string name;     ///< Name of an instance or a target.
-	bool leaving = false; ///< Listed as draining.
+	std::string name;      ///< Name of an instance or a target.
+	bool draining = false; ///< Listed as draining.
 };
 
 /** The platform's services. Each call leads to exactly one call of its \a done function, possibly before the call returns. */
--- a/src/platform/wire_configuration.h
+++ b/src/platform/wire_configuration.h
@@ -17,7 +17,7 @@
 bool IsConfigurationKey(std::string_view key);
 
 /** @return The data hall that is evacuated while the row \a key of CONFIGURATION_TABLE exists; nothing if it is a row of another kind. */
-std::optional<std::string> EmptiedHallOf(std::string_view key);
+std::optional<std::string> EvacuatedHallOf(std::string_view key);
 
 /** Decode a configuration. */
 Result<ServingConfiguration> DecodeConfiguration(const std::string &text);
--- a/src/platform/wire_engine.h
+++ b/src/platform/wire_engine.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "decision/target_life.h"
+#include "decision/target_incarnation.h"
 #include "net/http_upstream.h"
 
 namespace cottonspool {
@@ -16,22 +16,22 @@
 	uint64_t used_tokens = 0;    ///< Size of the KV cache in use that cannot be evicted, in tokens.
 	uint64_t memory_tokens = 0;  ///< Total size of the KV cache, in tokens.
 	uint64_t waiting_tokens = 0; ///< Prompt tokens of the first waiting generation.
-	bool leaving = false;        ///< The engine is draining.
-	uint64_t born = 0;           ///< When the engine was started, in milliseconds since the Unix epoch by its own clock; 0 if unknown.
-	std::optional<Duration> leaves_in; ///< Time until it shuts down, if announced.
+	bool draining = false;       ///< The engine is draining.
+	uint64_t started_ms = 0;     ///< When the engine was started, in milliseconds since the Unix epoch by its own clock; 0 if unknown.
+	std::optional<Duration> shutdown_in; ///< Time until it shuts down, if announced.
 };
 
 /** Answer of an engine to the request to copy a run's KV cache to another engine. */
-struct MoveAnswer {
+struct MigrationAnswer {
 	enum class Kind : uint8_t {
-		Copied,   ///< The copy is complete.
-		NoRun,    ///< The engine has no such run: not started yet, or finished.
-		Busy,     ///< Another copy of this run is in progress.
-		NoRoom,   ///< The receiving engine has no capacity or is unreachable.
-		NoAnswer, ///< The call failed or its answer was invalid.
+		Copied,     ///< The copy is complete.
+		NoRun,      ///< The engine has no such run: not started yet, or finished.
+		Busy,       ///< Another copy of this run is in progress.
+		NoCapacity, ///< The receiving engine has no capacity or is unreachable.
+		NoAnswer,   ///< The call failed or its answer was invalid.
 	};
 	Kind kind = Kind::NoAnswer; ///< Result.
-	std::string handle;         ///< Handle of the copy at the source engine; may also be set with NoRoom if the run was stopped.
+	std::string handle;         ///< Handle of the copy at the source engine; may also be set with NoCapacity if the run was stopped.
 	uint64_t events = 0;        ///< Number of events that the run has produced.
 };
 
@@ -42,28 +42,29 @@
  * @return A call that makes the engine \a peer, at \a to, copy the KV cache of the run of \a attempt to the engine at \a copy_to.
  * @param stop Stop the run before it is copied, so that the copy is complete; otherwise it continues meanwhile.
  */
-UpstreamCall MakeMoveCall(const Endpoint &to, const std::string &peer, const std::string &attempt, const std::string &copy_to, bool stop,
-                          std::function<void(const MoveAnswer &)> done);
+UpstreamCall MakeMigrationCall(const Endpoint &to, const std::string &peer, const std::string &attempt, const std::string &copy_to,
+                               bool stop, std::function<void(const MigrationAnswer &)> done);
 
 /** @return A call that releases the copy \a handle at the source and at the receiving engine. */
-UpstreamCall MakeDropCall(const Endpoint &to, const std::string &peer, const std::string &handle);
+UpstreamCall MakeReleaseCall(const Endpoint &to, const std::string &peer, const std::string &handle);
 
 /** Result of a liveness probe of a target. */
-enum class LifeSign : uint8_t {
-	Answered,  ///< The target answered.
-	OtherLife, ///< Another target answered at the address, or a later incarnation of this one.
-	Refused,   ///< Connection refused: no process listens at the address.
-	Broken,    ///< The connection failed in another way, so that the target may be alive.
+enum class ProbeResult : uint8_t {
+	Answered,         ///< The target answered.
+	OtherIncarnation, ///< Another target answered at the address, or a later incarnation of this one.
+	Refused,          ///< Connection refused: no process listens at the address.
+	Broken,           ///< The connection failed in another way, so that the target may be alive.
 };
 
-/** @return The name of \a sign for logs. */
-const char *LifeSignName(LifeSign sign);
+/** @return The name of \a result for logs. */
+const char *ProbeResultName(ProbeResult result);
 
 /**
- * @return A call that probes, on a new connection, whether the incarnation \a life of a target is still alive at \a to.
+ * @return A call that probes, on a new connection, whether the incarnation \a incarnation of a target is still alive at \a to.
  * @param path Path that is cheap to answer: the report of an engine, or the health check of a service.
  */
-UpstreamCall MakeLifeCall(const Endpoint &to, const TargetLife &life, const std::string &path, std::function<void(LifeSign)> done);
+UpstreamCall MakeProbeCall(const Endpoint &to, const TargetIncarnation &incarnation, const std::string &path,
+                           std::function<void(ProbeResult)> done);
 
 /** Path of an engine's load report. */
 extern const char *const REPORT_PATH;
@@ -72,6 +73,6 @@
 std::optional<EngineReport> DecodeReport(const std::string &text);
 
 /** Decode the answer to a copy request. */
-MoveAnswer DecodeMove(int status, const std::string &text);
+MigrationAnswer DecodeMigrationAnswer(int status, const std::string &text);
 
 } // namespace cottonspool
--- a/src/platform/wire_request.h
+++ b/src/platform/wire_request.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "core/error_type.h"
-#include "decision/target_signs.h"
+#include "decision/target_signals.h"
 #include "net/http_message.h"
 
 namespace cottonspool {
@@ -17,7 +17,7 @@
 	std::string key;                  ///< API key of the client account; empty if there is none.
 	std::string model;                ///< Requested model; empty for requests to services.
 	uint32_t prompt_tokens = 0;       ///< Length of the prompt, in tokens.
-	uint32_t most_output_tokens = 0;  ///< Limit on output tokens.
+	uint32_t max_output_tokens = 0;   ///< Limit on output tokens.
 	uint32_t hinted_tokens = 0;       ///< Caller's estimate of the output tokens; 0 if there is none.
 	std::string shared_prefix;        ///< Id of the longest prompt prefix that other requests may share; empty if there is none.
 };
@@ -55,10 +55,10 @@
 /** Contents of an answer's header fields. */
 struct AnswerInfo {
 	std::string attempt;            ///< Id of the attempt that it answers; empty if there is none.
-	bool not_run = false;           ///< The request was certainly not executed.
+	bool not_executed = false;      ///< The request was certainly not executed.
 	bool stamped = false;           ///< The target's stamp is present: the answer is not from a proxy.
 	std::optional<TargetLoad> load; ///< Load of the target, if reported.
-	TargetSigns signs;              ///< Other signals of the target.
+	TargetSignals signals;          ///< Other signals of the target.
 };
 
 /** Decode the header fields of an answer. */
--- a/src/platform/wire_store.h
+++ b/src/platform/wire_store.h
@@ -20,8 +20,8 @@
 	uint64_t RemoveRow(const std::string &table, const std::string &key, WriteDone done) override;
 	void Cancel(uint64_t call) override { this->upstream.Cancel(call); }
 
-	/** Use the address \a moved_to for calls from now on. */
-	void SetAddress(Endpoint moved_to) { this->address = std::move(moved_to); }
+	/** Use the address \a new_address for calls from now on. */
+	void SetAddress(Endpoint new_address) { this->address = std::move(new_address); }
 
 	static constexpr const char *PEER = "store"; ///< Peer name of its connections in the connection pool.
 
@@ -29,7 +29,7 @@
 	/** An answer of the store. */
 	struct Answer {
 		int status = 0;         ///< HTTP status; 0 if there was no complete answer.
-		uint64_t era = 0;       ///< Store epoch; 0 if not reported.
+		uint64_t epoch = 0;     ///< Store epoch; 0 if not reported.
 		std::string body;       ///< Body.
 		const char *cause = ""; ///< Why there was none.
 	};
--- a/src/store/table_sharing.h
+++ b/src/store/table_sharing.h
@@ -25,30 +25,30 @@
 	 * Update the reader order after a change of the live instances.
 	 * @param readers This instance and its live peers.
 	 * @param halls Data halls that share the tables; empty if updates are not published per hall.
-	 * @param settling This instance has just started and may not have heard from its peers yet, so that it must not read for them.
+	 * @param starting_up This instance has just started and may not have heard from its peers yet, so that it must not read for them.
 	 */
-	void SetReaders(const std::vector<Reader> &readers, const std::vector<std::string> &halls, bool settling);
+	void SetReaders(const std::vector<Reader> &readers, const std::vector<std::string> &halls, bool starting_up);
 
-	/** Handle an update published by the instance \a teller of \a teller_hall. */
-	void OnNews(const std::string &teller, const std::string &teller_hall, TableNews news, TimePoint now);
+	/** Handle an update published by the instance \a sender of \a sender_hall. */
+	void OnUpdate(const std::string &sender, const std::string &sender_hall, TableUpdate update, TimePoint now);
 
 	/**
-	 * @param relayed Another instance of this hall has forwarded the updates already.
-	 * @return Whether this instance forwards updates from \a teller_hall within its own hall.
+	 * @param forwarded Another instance of this hall has forwarded the updates already.
+	 * @return Whether this instance forwards updates from \a sender_hall within its own hall.
 	 */
-	[[nodiscard]] bool PassesOn(const std::string &teller_hall, bool relayed) const;
+	[[nodiscard]] bool ShouldForward(const std::string &sender_hall, bool forwarded) const;
 
 	/** @return Whether this instance is the first of its hall in the reader order of any table. */
-	bool ReadsForHall() const;
+	bool IsHallReader() const;
 
 	/** @return Names of the tables whose snapshot has to be requested from other instances. */
-	std::vector<std::string> Wanted() const;
+	std::vector<std::string> MissingSnapshots() const;
 
-	/** @return Snapshots of those tables of \a asked that are available here. */
-	std::vector<TableNews> Whole(const std::vector<std::string> &asked) const;
+	/** @return Snapshots of those tables of \a requested that are available here. */
+	std::vector<TableUpdate> Snapshot(const std::vector<std::string> &requested) const;
 
 	/** @return Version of the snapshot of \a table; nothing if none is available here. */
-	std::optional<StoreVersion> WholeVersion(const std::string &table) const;
+	std::optional<StoreVersion> SnapshotVersion(const std::string &table) const;
 
 	/** Advance all tables; called periodically. */
 	void OnTick(TimePoint now);
@@ -62,7 +62,7 @@
 	};
 
 	/** @return Position of an instance in the reader order of \a table; 0 is the reader. */
-	size_t PlaceOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const;
+	size_t PositionOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const;
 
 	std::string name;                ///< Name of this instance.
 	std::string hall;                ///< Data hall of this instance.
--- a/src/store/table_store_base.h
+++ b/src/store/table_store_base.h
@@ -31,11 +31,11 @@
 };
 
 /** Changes or a snapshot of a table, as published by the instance that reads it from the store. */
-struct TableNews {
+struct TableUpdate {
 	std::string table;           ///< Name of the table.
 	StoreVersion from;           ///< Table version to which the rows apply.
 	StoreVersion to;             ///< Table version after the rows are applied.
-	bool whole = false;          ///< The rows are a snapshot of the table.
+	bool full = false;           ///< The rows are a snapshot of the table.
 	bool healthy = false;        ///< The sender can reach the store.
 	std::vector<StoredRow> rows; ///< Rows; empty in a heartbeat, or if no changed row concerns the receivers.
 	StoreVersion read;           ///< Version of the store as a whole at which the sender last read the table.
@@ -43,10 +43,10 @@
 
 /** Why a read returned no rows. */
 enum class StoreFailure : uint8_t {
-	NoAnswer,    ///< The connection failed, or the call timed out.
-	Refused,     ///< The store rejected the call without executing it.
-	HistoryGone, ///< The store has no change history back to the requested version; a snapshot has to be read.
-	Malformed,   ///< The answer could not be decoded.
+	NoAnswer,           ///< The connection failed, or the call timed out.
+	Refused,            ///< The store rejected the call without executing it.
+	HistoryUnavailable, ///< The store has no change history back to the requested version; a snapshot has to be read.
+	Malformed,          ///< The answer could not be decoded.
 };
 
 /** @return The name of \a failure for logs. */
@@ -57,11 +57,11 @@
 	std::optional<RowsPage> page;                  ///< Rows; nothing if the read failed.
 	StoreFailure failure = StoreFailure::NoAnswer; ///< Reason of a failure.
 	std::string cause;                             ///< Details of a failure, for logs.
-	uint64_t era = 0;                              ///< Store epoch as reported by the store; 0 if not reported.
+	uint64_t epoch = 0;                            ///< Store epoch as reported by the store; 0 if not reported.
 };
 
 /** Result of a write. */
-enum class StoreWrite : uint8_t {
+enum class StoreWriteResult : uint8_t {
 	Done,    ///< Executed.
 	NotDone, ///< Certainly not executed.
 	Unknown, ///< Outcome unknown: it may have been executed, or may still be.
@@ -71,7 +71,7 @@
 class TableStore {
 public:
 	using RowsDone = std::function<void(RowsAnswer)>;
-	using WriteDone = std::function<void(StoreWrite)>;
+	using WriteDone = std::function<void(StoreWriteResult)>;
 
 	virtual ~TableStore() = default;
 
--- a/src/tests/hand_store.h
+++ b/src/tests/manual_store.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file hand_store.h Store for unit tests, whose answers a test gives one by one. */
+/** @file manual_store.h Store for unit tests, whose answers a test gives one by one. */
 
 #pragma once
 
@@ -11,7 +11,7 @@
 namespace cottonspool {
 
 /** A store whose calls wait until the test answers them. */
-class HandStore : public TableStore {
+class ManualStore : public TableStore {
 public:
 	/** A read that waits for its answer. */
 	struct Waiting {
@@ -83,10 +83,10 @@
 	return {page, StoreFailure::NoAnswer, ""};
 }
 
-/** @return \a answer with the store epoch \a era. */
-inline RowsAnswer OfEra(uint64_t era, RowsAnswer answer)
+/** @return \a answer with the store epoch \a epoch. */
+inline RowsAnswer WithEpoch(uint64_t epoch, RowsAnswer answer)
 {
-	answer.era = era;
+	answer.epoch = epoch;
 	return answer;
 }
 
--- a/src/tests/net_test.cpp
+++ b/src/tests/net_test.cpp
@@ -198,7 +198,7 @@
 	bench.Run(20);
 	CHECK(probe.end == UpstreamEnd::Complete);
 	CHECK(probe.body == "ours");
-	CHECK(upstream.Counters().strays == 1);
+	CHECK(upstream.Counters().stray_answers == 1);
 	CallProbe next;
 	upstream.Start(next.Make(port, "c"));
 	bench.Run(20);
@@ -238,7 +238,7 @@
 	bench.Run(30);
 	CHECK(probe.ended == 1);
 	CHECK(probe.end == UpstreamEnd::Refused);
-	CHECK(IsUnsent(probe.end));
+	CHECK(IsCertainlyUnsent(probe.end));
 	upstream.Shutdown();
 }
 
@@ -252,7 +252,7 @@
 		{
 			HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &exchange) {
 				taken = exchange;
-				exchange->on_gone = [&] { gone = true; };
+				exchange->on_disconnect = [&] { gone = true; };
 			});
 			uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 			PlainSocket caller(PlainSocket::Connect(port));
--- a/src/tests/sharing_property_test.cpp
+++ b/src/tests/sharing_property_test.cpp
@@ -3,7 +3,7 @@
 /** @file sharing_property_test.cpp Guards against changes of a table that arrive late after failures, and against hundreds of instances
  * calling the store. */
 
-#include "tests/sharing_world.h"
+#include "tests/sharing_simulation.h"
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -16,35 +16,35 @@
 
 TEST_CASE("Sharing - one of 295 instances in five halls reads a table, and all receive a change within 100 ms")
 {
-	SharingWorld world({5, 59});
-	world.Pass(SETTLED);
+	SharingSimulation world({5, 59});
+	world.Advance(SETTLED);
 	// Each instance reads one snapshot at its start; none polls before it has heard from its peers.
 	CHECK(world.Calls() <= world.Size() + 20);
 	CHECK(world.OnlyReader() >= 0);
 	uint64_t before = world.Calls();
-	world.Pass(seconds(10));
+	world.Advance(seconds(10));
 	CHECK(world.OnlyReader() >= 0);
 	// A long poll without a change takes half a second, so that one reader makes about two calls per second.
 	CHECK(world.Calls() - before <= 21);
 	TimePoint written = world.Now();
 	uint64_t version = world.Write();
-	world.Pass(milliseconds(100));
-	CHECK(world.Behind(version, written) == 0);
+	world.Advance(milliseconds(100));
+	CHECK(world.CountBehind(version, written) == 0);
 }
 
 TEST_CASE("Sharing - 295 instances that restart at the same time call the store about once each")
 {
-	SharingWorld world({5, 59});
-	world.Pass(SETTLED);
+	SharingSimulation world({5, 59});
+	world.Advance(SETTLED);
 	for (size_t i = 0; i < world.Size(); i++) world.Kill(i);
-	world.Pass(milliseconds(1500));
+	world.Advance(milliseconds(1500));
 	uint64_t before = world.Calls();
 	TimePoint written = world.Now();
 	uint64_t version = world.Write();
 	for (size_t i = 0; i < world.Size(); i++) world.Restart(i);
-	world.Pass(milliseconds(100));
-	CHECK(world.Behind(version, written) == 0);
-	world.Pass(SETTLED);
+	world.Advance(milliseconds(100));
+	CHECK(world.CountBehind(version, written) == 0);
+	world.Advance(SETTLED);
 	CHECK(world.Calls() - before <= world.Size() + 20);
 	CHECK(world.OnlyReader() >= 0);
 }
@@ -52,9 +52,9 @@
 TEST_CASE("Sharing - a change arrives in time at all instances that can reach the store, despite crashes and partitions")
 {
 	bool good = rc::check("whatever fails", [] {
-		SharingLayout layout{*rc::gen::inRange<size_t>(2, 6), *rc::gen::inRange<size_t>(2, 10)};
-		SharingWorld world(layout);
-		world.Pass(SETTLED);
+		SharingSimulationLayout layout{*rc::gen::inRange<size_t>(2, 6), *rc::gen::inRange<size_t>(2, 10)};
+		SharingSimulation world(layout);
+		world.Advance(SETTLED);
 		auto any = [&] { return *rc::gen::inRange<size_t>(0, world.Size()); };
 		auto reader_or_any = [&] { return world.OnlyReader() >= 0 ? static_cast<size_t>(world.OnlyReader()) : any(); };
 		for (int step = 0; step < 10; step++) {
@@ -75,25 +75,25 @@
 				world.SetStoreReachable(any(), *rc::gen::arbitrary<bool>());
 				break;
 			case 5:
-				world.Cut(*rc::gen::inRange<size_t>(0, layout.halls), *rc::gen::arbitrary<bool>());
+				world.Partition(*rc::gen::inRange<size_t>(0, layout.halls), *rc::gen::arbitrary<bool>());
 				break;
 			default:
-				world.Heal(*rc::gen::inRange<size_t>(0, layout.halls));
+				world.HealPartition(*rc::gen::inRange<size_t>(0, layout.halls));
 				break;
 			}
-			world.Pass(milliseconds(*rc::gen::inRange(0, 700)));
+			world.Advance(milliseconds(*rc::gen::inRange(0, 700)));
 			TimePoint written = world.Now();
 			uint64_t version = world.Write();
-			world.Pass(world.Bound());
-			RC_ASSERT(world.Behind(version, written) == 0U);
+			world.Advance(world.MaxPropagationDelay());
+			RC_ASSERT(world.CountBehind(version, written) == 0U);
 		}
 		// After all failures have ended there is one reader again.
-		for (size_t hall = 0; hall < layout.halls; hall++) world.Heal(hall);
+		for (size_t hall = 0; hall < layout.halls; hall++) world.HealPartition(hall);
 		for (size_t i = 0; i < world.Size(); i++) {
 			world.Restart(i);
 			world.SetStoreReachable(i, true);
 		}
-		world.Pass(SETTLED);
+		world.Advance(SETTLED);
 		RC_ASSERT(world.OnlyReader() >= 0);
 	});
 	CHECK(good);
@@ -102,22 +102,22 @@
 TEST_CASE("Sharing - a store that was restored from a backup gets a bounded number of calls, and later changes arrive in time")
 {
 	for (auto [halls, per_hall] : {std::pair<size_t, size_t>{2, 4}, {2, 31}, {5, 59}}) {
-		SharingWorld world({halls, per_hall});
-		world.Pass(SETTLED);
-		world.TakeCopy();
+		SharingSimulation world({halls, per_hall});
+		world.Advance(SETTLED);
+		world.TakeBackup();
 		world.WriteElsewhere(500);
 		world.Write();
-		world.Pass(seconds(2));
-		world.LoseStore();
-		world.Pass(milliseconds(2500));
+		world.Advance(seconds(2));
+		world.StopStore();
+		world.Advance(milliseconds(2500));
 		uint64_t before = world.Calls();
-		world.ComeBack(std::nullopt);
-		world.Pass(milliseconds(300));
+		world.RestoreBackup(std::nullopt);
+		world.Advance(milliseconds(300));
 		TimePoint written = world.Now();
 		uint64_t content = world.Write();
-		world.Pass(world.Bound());
-		CHECK(world.Behind(content, written) == 0);
-		world.Pass(seconds(10));
+		world.Advance(world.MaxPropagationDelay());
+		CHECK(world.CountBehind(content, written) == 0);
+		world.Advance(seconds(10));
 		MESSAGE("instances ", world.Size(), ": calls in the twelve seconds after the return ", world.Calls() - before);
 		CHECK(world.Calls() - before <= 2 * world.Size() + 60);
 		CHECK(world.OnlyReader() >= 0);
@@ -127,16 +127,16 @@
 TEST_CASE("Sharing - a change made after a restore of the store arrives in time, despite other failures and repeated restores")
 {
 	bool good = rc::check("copies", [] {
-		SharingLayout layout{*rc::gen::inRange<size_t>(2, 5), *rc::gen::inRange<size_t>(1, 11)};
-		SharingWorld world(layout);
-		world.Pass(SETTLED);
+		SharingSimulationLayout layout{*rc::gen::inRange<size_t>(2, 5), *rc::gen::inRange<size_t>(1, 11)};
+		SharingSimulation world(layout);
+		world.Advance(SETTLED);
 		auto any = [&] { return *rc::gen::inRange<size_t>(0, world.Size()); };
 		for (int step = 0; step < 8; step++) {
-			world.TakeCopy();
+			world.TakeBackup();
 			// The restore loses some writes: as many as are made after it, or more, or fewer.
 			for (int i = *rc::gen::inRange(0, 3); i > 0; i--) world.Write();
 			world.WriteElsewhere(*rc::gen::inRange<uint64_t>(0, 4));
-			world.Pass(milliseconds(*rc::gen::inRange(0, 900)));
+			world.Advance(milliseconds(*rc::gen::inRange(0, 900)));
 			for (int i = *rc::gen::inRange(0, 3); i > 0; i--) {
 				switch (*rc::gen::inRange(0, 6)) {
 				case 0:
@@ -150,27 +150,27 @@
 					world.SetStoreReachable(any(), *rc::gen::arbitrary<bool>());
 					break;
 				case 4:
-					world.Cut(*rc::gen::inRange<size_t>(0, layout.halls), *rc::gen::arbitrary<bool>());
+					world.Partition(*rc::gen::inRange<size_t>(0, layout.halls), *rc::gen::arbitrary<bool>());
 					break;
 				default:
-					world.Heal(*rc::gen::inRange<size_t>(0, layout.halls));
+					world.HealPartition(*rc::gen::inRange<size_t>(0, layout.halls));
 					break;
 				}
-				world.Pass(milliseconds(*rc::gen::inRange(0, 300)));
+				world.Advance(milliseconds(*rc::gen::inRange(0, 300)));
 			}
 			for (int i = *rc::gen::inRange(1, 3); i > 0; i--) {
-				if (*rc::gen::arbitrary<bool>()) world.LoseStore();
-				world.Pass(milliseconds(*rc::gen::inRange(0, 1500)));
+				if (*rc::gen::arbitrary<bool>()) world.StopStore();
+				world.Advance(milliseconds(*rc::gen::inRange(0, 1500)));
 				bool late = *rc::gen::arbitrary<bool>();
-				world.ComeBack(late ? std::optional<Duration>(milliseconds(*rc::gen::inRange(1, 1500))) : std::nullopt);
-				if (*rc::gen::arbitrary<bool>()) world.WriteAgain();
+				world.RestoreBackup(late ? std::optional<Duration>(milliseconds(*rc::gen::inRange(1, 1500))) : std::nullopt);
+				if (*rc::gen::arbitrary<bool>()) world.RewriteLast();
 				world.WriteElsewhere(*rc::gen::inRange<uint64_t>(0, 4));
 			}
-			world.Pass(milliseconds(*rc::gen::inRange(0, 700)));
+			world.Advance(milliseconds(*rc::gen::inRange(0, 700)));
 			TimePoint written = world.Now();
 			uint64_t content = world.Write();
-			world.Pass(world.Bound());
-			RC_ASSERT(world.Behind(content, written) == 0U);
+			world.Advance(world.MaxPropagationDelay());
+			RC_ASSERT(world.CountBehind(content, written) == 0U);
 			RC_ASSERT(world.Reverts() == 0U);
 		}
 	});
--- a/src/tests/store_era_test.cpp
+++ b/src/tests/store_epoch_test.cpp
@@ -1,9 +1,9 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file store_era_test.cpp Guards against stale or mixed views after a restore of the store, which issues its version numbers a second
+/** @file store_epoch_test.cpp Guards against stale or mixed views after a restore of the store, which issues its version numbers a second
  * time. */
 
-#include "tests/hand_store.h"
+#include "tests/manual_store.h"
 #include <doctest/doctest.h>
 
 using namespace cottonspool;
@@ -15,11 +15,11 @@
 struct EraWorld {
 	EraWorld()
 	{
-		this->watch.on_all = [this](const std::vector<StoredRow> &rows, TimePoint) { this->Note("all", rows); };
+		this->watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint) { this->Note("all", rows); };
 		this->watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint) { this->Note("changes", rows); };
-		this->watch.on_other_store = [this](const StoreChange &change, TimePoint) { this->met.push_back(change); };
+		this->watch.on_store_restored = [this](const StoreEpochChange &change, TimePoint) { this->met.push_back(change); };
 		this->watch.Start(this->now);
-		this->store.Answer(OfEra(1, Page({"a"}, 90)));
+		this->store.Answer(WithEpoch(1, Page({"a"}, 90)));
 		this->heard.clear();
 	}
 
@@ -39,17 +39,17 @@
 	/** Make a peer the reader, and answer the pending call. */
 	void LeaveItToOthers()
 	{
-		this->watch.SetPatience(milliseconds(4000));
-		this->store.Answer(OfEra(1, Page({}, 91)));
+		this->watch.SetTakeoverDelay(milliseconds(4000));
+		this->store.Answer(WithEpoch(1, Page({}, 91)));
 		REQUIRE(this->store.calls.empty());
 		this->heard.clear();
 	}
 
-	HandStore store;                                                                     ///< Store.
+	ManualStore store;                                                                   ///< Store.
 	TimePoint now = MonotonicNow();                                                      ///< Clock.
 	TableWatch watch{this->store, "table", WatchLimits{}, [this] { return this->now; }}; ///< Under test.
-	std::vector<std::string> heard; ///< Reported snapshots and changes, with the keys of their rows.
-	std::vector<StoreChange> met;   ///< Reported changes of the store epoch.
+	std::vector<std::string> heard;    ///< Reported snapshots and changes, with the keys of their rows.
+	std::vector<StoreEpochChange> met; ///< Reported changes of the store epoch.
 };
 
 } // namespace
@@ -57,12 +57,12 @@
 TEST_CASE("Store epoch - a snapshot of a restored store is taken in at once, although its version number is lower")
 {
 	EraWorld world;
-	world.store.Answer(OfEra(2, Failed(StoreFailure::HistoryGone)));
+	world.store.Answer(WithEpoch(2, Failed(StoreFailure::HistoryUnavailable)));
 	REQUIRE_FALSE(world.store.Newest().changes);
-	world.store.Answer(OfEra(2, Page({"a", "b"}, 10)));
+	world.store.Answer(WithEpoch(2, Page({"a", "b"}, 10)));
 	CHECK(world.heard == std::vector<std::string>{"all a b"});
 	CHECK(world.watch.Version() == StoreVersion{2, 10});
-	CHECK_FALSE(world.watch.IsLost());
+	CHECK_FALSE(world.watch.IsUnavailable());
 	REQUIRE(world.met.size() == 1);
 	CHECK(world.met[0].known == StoreVersion{1, 90});
 	CHECK(world.met[0].read == StoreVersion{2, 10});
@@ -72,10 +72,10 @@
 TEST_CASE("Store epoch - changes from another epoch lead to a snapshot, even if the version number matches")
 {
 	EraWorld world;
-	world.store.Answer(OfEra(2, Page({}, 90)));
+	world.store.Answer(WithEpoch(2, Page({}, 90)));
 	CHECK(world.heard.empty());
 	REQUIRE_FALSE(world.store.Newest().changes);
-	world.store.Answer(OfEra(2, Page({"b"}, 90)));
+	world.store.Answer(WithEpoch(2, Page({"b"}, 90)));
 	CHECK(world.heard == std::vector<std::string>{"all b"});
 	CHECK(world.watch.Version() == StoreVersion{2, 90});
 }
@@ -83,28 +83,28 @@
 TEST_CASE("Store epoch - a rejected call reports the epoch too, and its backoff is kept")
 {
 	EraWorld world;
-	world.store.Answer(OfEra(2, Failed(StoreFailure::Refused)));
+	world.store.Answer(WithEpoch(2, Failed(StoreFailure::Refused)));
 	REQUIRE_FALSE(world.store.Newest().changes);
-	world.store.Answer(OfEra(2, Failed(StoreFailure::Refused)));
+	world.store.Answer(WithEpoch(2, Failed(StoreFailure::Refused)));
 	CHECK(world.store.calls.empty());
-	CHECK(world.watch.IsLost());
+	CHECK(world.watch.IsUnavailable());
 	world.Pass(milliseconds(100));
 	CHECK(world.store.calls.empty());
 	world.Pass(milliseconds(100));
-	world.store.Answer(OfEra(2, Page({"b"}, 3)));
+	world.store.Answer(WithEpoch(2, Page({"b"}, 3)));
 	CHECK(world.heard == std::vector<std::string>{"all b"});
 }
 
 TEST_CASE("Store epoch - pages of two epochs are never combined")
 {
 	EraWorld world;
-	world.store.Answer(OfEra(1, Failed(StoreFailure::HistoryGone)));
-	world.store.Answer(OfEra(1, Page({"a", "b"}, 95, true)));
+	world.store.Answer(WithEpoch(1, Failed(StoreFailure::HistoryUnavailable)));
+	world.store.Answer(WithEpoch(1, Page({"a", "b"}, 95, true)));
 	REQUIRE(world.store.Newest().from > "b");
-	world.store.Answer(OfEra(2, Page({"c"}, 96)));
+	world.store.Answer(WithEpoch(2, Page({"c"}, 96)));
 	CHECK(world.heard.empty());
 	REQUIRE(world.store.Newest().from.empty());
-	world.store.Answer(OfEra(2, Page({"d"}, 12)));
+	world.store.Answer(WithEpoch(2, Page({"d"}, 12)));
 	CHECK(world.heard == std::vector<std::string>{"all d"});
 }
 
@@ -112,22 +112,22 @@
 {
 	EraWorld world;
 	world.LeaveItToOthers();
-	world.watch.OnNews({"table", {2, 0}, {2, 12}, true, true, {{"b", "v", 12, false}}}, world.now);
+	world.watch.OnUpdate({"table", {2, 0}, {2, 12}, true, true, {{"b", "v", 12, false}}}, world.now);
 	CHECK(world.heard == std::vector<std::string>{"all b"});
 	CHECK(world.watch.Version() == StoreVersion{2, 12});
 	REQUIRE(world.met.size() == 1);
-	CHECK(world.met[0].told);
+	CHECK(world.met[0].from_peer);
 	// Later changes apply to it.
-	world.watch.OnNews({"table", {2, 12}, {2, 14}, false, true, {{"c", "v", 14, false}}}, world.now);
+	world.watch.OnUpdate({"table", {2, 12}, {2, 14}, false, true, {{"c", "v", 14, false}}}, world.now);
 	CHECK(world.heard == std::vector<std::string>{"all b", "changes c"});
 	CHECK(world.store.calls.empty());
 	// Changes of the next epoch don't suffice, as they don't include what the restore lost.
-	world.watch.OnNews({"table", {3, 11}, {3, 95}, false, true, {{"d", "v", 95, false}}}, world.now);
+	world.watch.OnUpdate({"table", {3, 11}, {3, 95}, false, true, {{"d", "v", 95, false}}}, world.now);
 	CHECK(world.heard.size() == 2);
 	world.Pass(milliseconds(25));
 	REQUIRE(world.store.calls.size() == 1);
 	REQUIRE_FALSE(world.store.Newest().changes);
-	world.store.Answer(OfEra(3, Page({"d", "e"}, 95)));
+	world.store.Answer(WithEpoch(3, Page({"d", "e"}, 95)));
 	CHECK(world.heard.back() == "all d e");
 	CHECK(world.store.calls.empty());
 }
@@ -136,7 +136,7 @@
 {
 	EraWorld world;
 	world.LeaveItToOthers();
-	world.watch.OnNews({"table", {2, 0}, {2, 0}, false, true, {}}, world.now);
+	world.watch.OnUpdate({"table", {2, 0}, {2, 0}, false, true, {}}, world.now);
 	CHECK(world.heard == std::vector<std::string>{"all"});
 	CHECK(world.met.size() == 1);
 	world.Pass(milliseconds(25));
@@ -147,10 +147,10 @@
 {
 	EraWorld world;
 	world.LeaveItToOthers();
-	world.watch.OnNews({"table", {2, 0}, {2, 12}, true, true, {{"b", "v", 12, false}}}, world.now);
+	world.watch.OnUpdate({"table", {2, 0}, {2, 12}, true, true, {{"b", "v", 12, false}}}, world.now);
 	for (int i = 0; i < 9; i++) {
 		world.Pass(milliseconds(500));
-		world.watch.OnNews({"table", {1, 90}, {1, 95}, false, true, {{"x", "v", 95, false}}}, world.now);
+		world.watch.OnUpdate({"table", {1, 90}, {1, 95}, false, true, {{"x", "v", 95, false}}}, world.now);
 	}
 	CHECK(world.heard == std::vector<std::string>{"all b"});
 	// They don't count as heartbeats either: this instance takes over.
@@ -162,12 +162,12 @@
 	EraWorld world;
 	REQUIRE(world.store.Newest().changes);
 	// The update cancels the pending call of the former epoch.
-	world.watch.OnNews({"table", {2, 0}, {2, 12}, true, true, {{"b", "v", 12, false}}}, world.now);
+	world.watch.OnUpdate({"table", {2, 0}, {2, 12}, true, true, {{"b", "v", 12, false}}}, world.now);
 	CHECK(world.store.calls.empty());
 	world.Pass(milliseconds(25));
 	REQUIRE(world.store.Newest().changes);
 	CHECK(world.store.Newest().version == 12);
-	world.store.Answer(OfEra(2, Page({"c"}, 13)));
+	world.store.Answer(WithEpoch(2, Page({"c"}, 13)));
 	CHECK(world.heard == std::vector<std::string>{"all b", "changes c"});
 }
 
@@ -175,21 +175,21 @@
 {
 	EraWorld world;
 	world.LeaveItToOthers();
-	world.watch.OnNews({"table", {999, 5}, {999, 7}, false, true, {}}, world.now);
+	world.watch.OnUpdate({"table", {999, 5}, {999, 7}, false, true, {}}, world.now);
 	world.Pass(milliseconds(25));
 	REQUIRE_FALSE(world.store.Newest().changes);
-	world.store.Answer(OfEra(1, Page({"a"}, 95)));
+	world.store.Answer(WithEpoch(1, Page({"a"}, 95)));
 	CHECK(world.watch.Version() == StoreVersion{1, 95});
 	world.Pass(milliseconds(25));
 	CHECK(world.store.calls.empty());
 	// A snapshot of such an epoch is replaced as soon as the store is read.
-	world.watch.OnNews({"table", {999, 0}, {999, 7}, true, true, {{"x", "v", 7, false}}}, world.now);
+	world.watch.OnUpdate({"table", {999, 0}, {999, 7}, true, true, {{"x", "v", 7, false}}}, world.now);
 	CHECK(world.watch.Version() == StoreVersion{999, 7});
-	world.watch.SetPatience(Duration(0));
+	world.watch.SetTakeoverDelay(Duration(0));
 	world.Pass(milliseconds(25));
-	world.store.Answer(OfEra(1, Failed(StoreFailure::HistoryGone)));
+	world.store.Answer(WithEpoch(1, Failed(StoreFailure::HistoryUnavailable)));
 	REQUIRE_FALSE(world.store.Newest().changes);
-	world.store.Answer(OfEra(1, Page({"a"}, 96)));
+	world.store.Answer(WithEpoch(1, Page({"a"}, 96)));
 	CHECK(world.watch.Version() == StoreVersion{1, 96});
 	CHECK(world.heard.back() == "all a");
 }
