--- a/src/net/http_upstream.cpp
+++ b/src/net/http_upstream.cpp
@@ -195,27 +195,28 @@
 	auto found = this->idle.find(call.peer);
 	if (found == this->idle.end() || call.max_reuse_idle == Duration(0)) return nullptr;
 	// The most recently used connection is the least likely to be closed by the server just now.
-	std::shared_ptr<UpstreamConnection> link = found->second.back();
-	Duration idle_time = now - link->idle_since;
-	if (link->to != call.to || idle_time > call.max_reuse_idle || idle_time > link->idle_timeout || link->stream->IsClosed())
+	std::shared_ptr<UpstreamConnection> connection = found->second.back();
+	Duration idle_time = now - connection->idle_since;
+	if (connection->to != call.to || idle_time > call.max_reuse_idle || idle_time > connection->idle_timeout ||
+	    connection->stream->IsClosed())
 		return nullptr;
 	found->second.pop_back();
 	if (found->second.empty()) this->idle.erase(found);
-	return link;
+	return connection;
 }
 
 uint64_t HttpUpstream::Start(UpstreamCall call)
 {
 	uint64_t number = this->next++;
 	this->counters.calls++;
-	std::shared_ptr<UpstreamConnection> link = this->AcquireIdle(call, MonotonicNow());
-	if (!link) {
+	std::shared_ptr<UpstreamConnection> connection = this->AcquireIdle(call, MonotonicNow());
+	if (!connection) {
 		this->counters.connects++;
-		link = std::make_shared<UpstreamConnection>(*this, TcpStream::Connect(this->loop, call.to), call.peer, call.to);
-		link->Begin();
+		connection = std::make_shared<UpstreamConnection>(*this, TcpStream::Connect(this->loop, call.to), call.peer, call.to);
+		connection->Begin();
 	}
-	this->active.emplace(number, link);
-	link->Send(number, std::move(call));
+	this->active.emplace(number, connection);
+	connection->Send(number, std::move(call));
 	return number;
 }
 
@@ -223,11 +224,11 @@
 {
 	auto found = this->active.find(call);
 	if (found == this->active.end()) return;
-	std::shared_ptr<UpstreamConnection> link = found->second;
+	std::shared_ptr<UpstreamConnection> connection = found->second;
 	this->active.erase(found);
-	link->number = 0;
-	link->stream->Abort();
-	link->Close();
+	connection->number = 0;
+	connection->stream->Abort();
+	connection->Close();
 }
 
 bool HttpUpstream::IsConnected(uint64_t call) const
@@ -246,38 +247,38 @@
 {
 	auto found = this->idle.find(peer);
 	if (found == this->idle.end()) return;
-	std::list<std::shared_ptr<UpstreamConnection>> links = std::move(found->second);
+	std::list<std::shared_ptr<UpstreamConnection>> connections = std::move(found->second);
 	this->idle.erase(found);
-	for (const auto &link : links) link->stream->Close();
+	for (const auto &connection : connections) connection->stream->Close();
 }
 
 void HttpUpstream::OnTick(TimePoint now)
 {
 	std::vector<std::shared_ptr<UpstreamConnection>> timed_out;
-	for (const auto &[number, link] : this->active) {
-		if (!link->stream->WasOpen() && now - link->started > link->call.connect_timeout) timed_out.push_back(link);
+	for (const auto &[number, connection] : this->active) {
+		if (!connection->stream->WasOpen() && now - connection->started > connection->call.connect_timeout) timed_out.push_back(connection);
 	}
-	for (const auto &link : timed_out) {
-		auto on_end_callback = std::move(link->call.on_end);
-		this->Cancel(link->number);
+	for (const auto &connection : timed_out) {
+		auto on_end_callback = std::move(connection->call.on_end);
+		this->Cancel(connection->number);
 		if (on_end_callback) on_end_callback(UpstreamEnd::NotSent, "connect timed out");
 	}
 	for (auto peer = this->idle.begin(); peer != this->idle.end();) {
-		auto &links = peer->second;
-		while (!links.empty() && now - links.front()->idle_since > links.front()->idle_timeout) {
-			links.front()->stream->Close();
-			links.pop_front();
+		auto &connections = peer->second;
+		while (!connections.empty() && now - connections.front()->idle_since > connections.front()->idle_timeout) {
+			connections.front()->stream->Close();
+			connections.pop_front();
 		}
-		peer = links.empty() ? this->idle.erase(peer) : std::next(peer);
+		peer = connections.empty() ? this->idle.erase(peer) : std::next(peer);
 	}
 }
 
 void HttpUpstream::Shutdown()
 {
-	for (const auto &[number, link] : this->active) link->stream->Close();
+	for (const auto &[number, connection] : this->active) connection->stream->Close();
 	this->active.clear();
-	for (const auto &[peer, links] : this->idle) {
-		for (const auto &link : links) link->stream->Close();
+	for (const auto &[peer, connections] : this->idle) {
+		for (const auto &connection : connections) connection->stream->Close();
 	}
 	this->idle.clear();
 }
--- a/src/platform/wire_configuration.cpp
+++ b/src/platform/wire_configuration.cpp
@@ -68,14 +68,14 @@
 	pool.cold_rate = NumberField(from, "coldPerS");
 	auto engine = from.find("engine");
 	if (engine == from.end() || !engine->is_object()) return pool;
-	EnginePool &known = pool.engine.emplace();
-	known.slots = Uint32Field(*engine, "capacity", 1);
-	known.memory_tokens = UintField(*engine, "kvTokenCapacity");
-	known.bytes_per_token = NumberField(*engine, "kvTokenBytes");
-	known.link_mbps = NumberField(*engine, "linkMbps");
-	known.tokens_per_event = Uint32Field(*engine, "stride", 1);
-	known.can_migrate = BoolField(*engine, "moves");
-	known.can_back_up = BoolField(*engine, "backups");
+	EnginePool &engine_pool = pool.engine.emplace();
+	engine_pool.slots = Uint32Field(*engine, "capacity", 1);
+	engine_pool.memory_tokens = UintField(*engine, "kvTokenCapacity");
+	engine_pool.bytes_per_token = NumberField(*engine, "kvTokenBytes");
+	engine_pool.link_mbps = NumberField(*engine, "linkMbps");
+	engine_pool.tokens_per_event = Uint32Field(*engine, "stride", 1);
+	engine_pool.can_migrate = BoolField(*engine, "moves");
+	engine_pool.can_back_up = BoolField(*engine, "backups");
 	return pool;
 }
 
--- a/src/platform/wire_request.cpp
+++ b/src/platform/wire_request.cpp
@@ -100,10 +100,10 @@
 /** @return The decimal number \a text, limited to \a max_value; nothing unless it consists of digits and at most one decimal point. */
 static std::optional<double> DecimalNumber(std::string_view text, double max_value)
 {
-	static constexpr size_t LONGEST = 32; ///< Longest accepted text.
+	static constexpr size_t MAX_LENGTH = 32; ///< Longest accepted text.
 	auto is_part = [](char sign) { return (sign >= '0' && sign <= '9') || sign == '.'; };
 	bool digit_first = !text.empty() && text.front() != '.';
-	if (!digit_first || text.size() > LONGEST || !std::all_of(text.begin(), text.end(), is_part)) return std::nullopt;
+	if (!digit_first || text.size() > MAX_LENGTH || !std::all_of(text.begin(), text.end(), is_part)) return std::nullopt;
 	double value = 0;
 	auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
 	if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) return std::nullopt;
@@ -111,7 +111,7 @@
 }
 
 /** Read the rate limits in \a head. The lowest counts; invalid ones are ignored. */
-static void ReadLimit(const HttpHead &head, TargetSignals *signals)
+static void ReadRateLimit(const HttpHead &head, TargetSignals *signals)
 {
 	static constexpr double MAX_PER_S = 1e6; ///< Higher limits count as this one.
 	for (const HttpHeader &header : head.headers) {
@@ -128,7 +128,7 @@
 }
 
 /** Read the Retry-After time, in seconds, of an answer that rejects its request. */
-static void ReadPause(const HttpHead &head, TargetSignals *signals)
+static void ReadRetryAfter(const HttpHead &head, TargetSignals *signals)
 {
 	static constexpr double MAX_S = 86400; ///< A day; longer times count as one day.
 	std::string_view text = FindHeader(head.headers, "Retry-After");
@@ -139,14 +139,14 @@
 }
 
 /** @return The signals of a target in the header fields of its answer. */
-static TargetSignals ReadSigns(const HttpHead &head)
+static TargetSignals ReadSignals(const HttpHead &head)
 {
 	TargetSignals signals;
 	// Ignore an answer from another target that has taken over the address (421), and a success without the target's stamp.
 	bool stamped = !FindHeader(head.headers, "X-Server-Stamp").empty();
 	if (head.status == 421 || (head.status / 100 == 2 && !stamped)) return signals;
-	ReadLimit(head, &signals);
-	ReadPause(head, &signals);
+	ReadRateLimit(head, &signals);
+	ReadRetryAfter(head, &signals);
 	std::string_view draining = FindHeader(head.headers, "Server-Leaving");
 	signals.draining = draining == "1";
 	if (!draining.empty() && draining != "1" && draining != "0") signals.unreadable = true;
@@ -164,7 +164,7 @@
 	if (load.size() == 3) {
 		info.load = TargetLoad{LeadingUint32(load[0]), LeadingUint32(load[1]), LeadingUint32(load[2])};
 	}
-	info.signals = ReadSigns(head);
+	info.signals = ReadSignals(head);
 	return info;
 }
 
--- a/src/store/table_watch.cpp
+++ b/src/store/table_watch.cpp
@@ -82,14 +82,14 @@
 
 std::optional<TableUpdate> TableWatch::HeartbeatUpdate() const
 {
-	if (!this->following || this->lost) return std::nullopt;
+	if (!this->following || this->unavailable) return std::nullopt;
 	return TableUpdate{this->table, this->rows_version, this->rows_version, false, true, {}, this->version};
 }
 
 std::optional<TableUpdate> TableWatch::Snapshot() const
 {
 	if (!this->HasSnapshot()) return std::nullopt;
-	TableUpdate update{this->table, StoreVersion{}, this->rows_version, true, !this->lost, {}, this->version};
+	TableUpdate update{this->table, StoreVersion{}, this->rows_version, true, !this->unavailable, {}, this->version};
 	for (const auto &[key, row] : this->kept_rows) update.rows.push_back(row);
 	return update;
 }
@@ -127,43 +127,43 @@
 void TableWatch::OnUpdate(const TableUpdate &update, TimePoint now)
 {
 	if (update.table != this->table) return;
-	bool first = update.full && this->needs_snapshot && this->started;
-	if (!this->known && !first) return;
+	bool requested = update.full && this->needs_snapshot && this->started;
+	if (!this->known && !requested) return;
 	// The sender still has the state of an earlier epoch, so that neither its rows nor its heartbeat are valid.
 	if (update.to.epoch < this->version.epoch) return;
 	if (update.healthy) {
 		// An up-to-date view makes the store count as available again without a call. If changes are still to be read, only a successful
 		// read of this instance does.
-		bool returns = this->lost && this->call == 0 && !this->behind && update.to <= this->rows_version;
+		bool recovers = this->unavailable && this->call == 0 && !this->behind && update.to <= this->rows_version;
 		// The first update after an outage shows that the store is available to a peer: end the backoff.
-		if (this->lost && now - this->peer_update_at > this->takeover_delay) this->next_call_at = std::min(this->next_call_at, now);
+		if (this->unavailable && now - this->peer_update_at > this->takeover_delay) this->next_call_at = std::min(this->next_call_at, now);
 		this->peer_update_at = now;
-		if (returns) this->OnAnswered(now);
+		if (recovers) this->OnAnswered(now);
 		if (update.to == this->rows_version) this->confirmed_at = now;
 		// Advance the position for a later takeover, as the store truncates its change history.
 		if (update.to == this->rows_version && update.read.epoch == this->version.epoch)
 			this->version = std::max(this->version, update.read);
 	}
-	if (update.to < this->rows_version || (update.to == this->rows_version && !first)) return;
-	bool other = this->IsOtherEpoch(update.to);
+	if (update.to < this->rows_version || (update.to == this->rows_version && !requested)) return;
+	bool epoch_changed = this->IsOtherEpoch(update.to);
 	// Version number 0 means an empty table, so that the update is a snapshot.
 	bool full = update.full || update.to.number == 0;
 	// A heartbeat with a newer version only advertises changes. Changes that were filtered out completely come without rows, but span
 	// versions.
 	bool has_changes = !update.rows.empty() || update.from < update.to;
-	bool fits = full || (has_changes && !other && (this->limits.allow_gaps || update.from <= this->rows_version));
-	if (!fits && this->limits.allow_gaps && !other) return;
+	bool applies = full || (has_changes && !epoch_changed && (this->limits.allow_gaps || update.from <= this->rows_version));
+	if (!applies && this->limits.allow_gaps && !epoch_changed) return;
 	// A call that was started in the former epoch has no valid answer in the new one.
-	if (other) this->CancelCall();
-	if (!fits) {
-		if (other) this->following = false;
+	if (epoch_changed) this->CancelCall();
+	if (!applies) {
+		if (epoch_changed) this->following = false;
 		this->advertised = std::max(this->advertised, update.to);
 		return this->AdvanceRowsVersion({});
 	}
-	this->ApplyUpdate(update, full, other, now);
+	this->ApplyUpdate(update, full, epoch_changed, now);
 }
 
-void TableWatch::ApplyUpdate(const TableUpdate &update, bool full, bool other, TimePoint now)
+void TableWatch::ApplyUpdate(const TableUpdate &update, bool full, bool epoch_changed, TimePoint now)
 {
 	StoreVersion before = this->version;
 	this->version = std::max(this->version, update.to);
@@ -172,8 +172,8 @@
 		this->CancelCall();
 		this->OnSnapshotKnown(now);
 	}
-	if (other) this->following = true;
-	if (other && this->on_store_restored) this->on_store_restored({before, update.to, true}, now);
+	if (epoch_changed) this->following = true;
+	if (epoch_changed && this->on_store_restored) this->on_store_restored({before, update.to, true}, now);
 	this->AdvanceRowsVersion({});
 	this->confirmed_at = now;
 	this->UpdateKeptRows(update.rows, full);
@@ -217,18 +217,17 @@
 void TableWatch::CheckLeadTable(TimePoint now)
 {
 	// Long polls of a coupled table detect an outage late; the leading table, which is polled more often, detects it earlier.
-	if (this->lead_table == nullptr || !this->lead_table->IsUnavailable() || this->call == 0 || this->lost) return;
+	if (this->lead_table == nullptr || !this->lead_table->IsUnavailable() || this->call == 0 || this->unavailable) return;
 	this->CancelCall();
 	this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "reads of the leading table failed"}, now);
 }
 
 bool TableWatch::DefersToProbe(TimePoint now)
 {
-	bool leaves = this->lost && this->recovery_probe != nullptr && this->recovery_probe->IsUnavailable() &&
-	              this->recovery_probe->ReadsFromStore(now);
-	if (this->awaits_probe && !leaves) this->next_call_at = now;
-	this->awaits_probe = leaves;
-	return leaves;
+	bool defers = this->unavailable && this->prober != nullptr && this->prober->IsUnavailable() && this->prober->ReadsFromStore(now);
+	if (this->awaits_probe && !defers) this->next_call_at = now;
+	this->awaits_probe = defers;
+	return defers;
 }
 
 void TableWatch::CountCall(ReadReason reason)
@@ -257,7 +256,7 @@
 
 ReadReason TableWatch::ReasonToRead(TimePoint now) const
 {
-	if (this->lost) return ReadReason::Probe;
+	if (this->unavailable) return ReadReason::Probe;
 	if (this->behind) return ReadReason::Behind;
 	if (this->catch_up) return ReadReason::CatchUp;
 	bool takes_over = this->takeover_delay > Duration(0) && now - this->confirmed_at > this->takeover_delay;
@@ -317,20 +316,20 @@
 		return this->ReadPage(now);
 	}
 	this->next_key.clear();
-	bool other = this->IsOtherEpoch(this->pages_version);
+	bool epoch_changed = this->IsOtherEpoch(this->pages_version);
 	// A lagging replica of the store must not revert the local view: retry after the backoff.
-	if (!other && this->pages_version < this->version) {
+	if (!epoch_changed && this->pages_version < this->version) {
 		if (this->on_stale_snapshot) this->on_stale_snapshot(this->pages_version);
 		return this->OnFailure({std::nullopt, StoreFailure::Malformed, "older than known", answer.epoch}, now);
 	}
 	StoreVersion before = this->version;
 	this->version = this->pages_version;
-	if (other) this->rows_version = StoreVersion{};
+	if (epoch_changed) this->rows_version = StoreVersion{};
 	std::vector<StoredRow> rows = std::move(this->pages);
 	this->OnSnapshotKnown(now);
 	this->DiscardRefutedUpdate();
 	this->OnAnswered(now);
-	if (other && this->on_store_restored) this->on_store_restored({before, this->version, false}, now);
+	if (epoch_changed && this->on_store_restored) this->on_store_restored({before, this->version, false}, now);
 	this->AdvanceRowsVersion(rows);
 	if (this->filter_rows) this->filter_rows(rows, true);
 	this->UpdateKeptRows(rows, true);
@@ -346,8 +345,8 @@
 	StoreVersion read = this->VersionOf(answer, answer.page ? answer.page->version : 0);
 	// The call was started in a former epoch, so that its answer is not valid any more.
 	if (this->call_version.epoch < this->version.epoch && read.epoch <= this->version.epoch) return this->ContinueReading(now);
-	bool other = this->IsOtherEpoch(read);
-	if (other || (!answer.page && answer.failure == StoreFailure::HistoryUnavailable)) return this->BeginSnapshotRead(now);
+	bool epoch_changed = this->IsOtherEpoch(read);
+	if (epoch_changed || (!answer.page && answer.failure == StoreFailure::HistoryUnavailable)) return this->BeginSnapshotRead(now);
 	if (!answer.page) return this->OnFailure(answer, now);
 	this->catch_up = false;
 	StoreVersion before = this->rows_version;
@@ -366,8 +365,8 @@
 
 void TableWatch::OnFailure(const RowsAnswer &answer, TimePoint now)
 {
-	if (!this->lost) {
-		this->lost = true;
+	if (!this->unavailable) {
+		this->unavailable = true;
 		this->unavailable_since = now;
 		if (this->on_unavailable) this->on_unavailable(answer, now);
 	}
@@ -380,8 +379,8 @@
 	this->confirmed_at = now;
 	this->backoff = Duration(0);
 	this->read_timeout = this->limits.min_read_timeout;
-	if (!this->lost) return;
-	this->lost = false;
+	if (!this->unavailable) return;
+	this->unavailable = false;
 	if (this->on_reconnected) this->on_reconnected(now - this->unavailable_since, now);
 }
 
--- a/src/store/table_watch.h
+++ b/src/store/table_watch.h
@@ -107,7 +107,7 @@
 	void OnUpdate(const TableUpdate &update, TimePoint now);
 
 	/** While the store is unavailable to \a first too, don't probe it here: one probe per instance is enough. */
-	void SetRecoveryProbe(const TableWatch &first) { this->recovery_probe = &first; }
+	void SetRecoveryProbe(const TableWatch &first) { this->prober = &first; }
 
 	/**
 	 * Couple this table to \a lead, which changes more often: the instance that reads \a lead for its peers reads this table too,
@@ -134,7 +134,7 @@
 	bool IsKnown() const { return this->known; }
 
 	/** @return Whether the store is unavailable: the last call failed. */
-	bool IsUnavailable() const { return this->lost; }
+	bool IsUnavailable() const { return this->unavailable; }
 
 	/** @return When the local view was last confirmed to be up to date. */
 	TimePoint ConfirmedAt() const { return this->confirmed_at; }
@@ -179,34 +179,34 @@
 	bool SnapshotIsDue(TimePoint now) const { return this->needs_snapshot && now >= this->snapshot_due; }
 	void OnSnapshotKnown(TimePoint now);
 	void UpdateKeptRows(const std::vector<StoredRow> &rows, bool full);
-	void ApplyUpdate(const TableUpdate &update, bool full, bool other, TimePoint now);
+	void ApplyUpdate(const TableUpdate &update, bool full, bool epoch_changed, TimePoint now);
 	void ContinueReading(TimePoint now);
 	bool DefersToProbe(TimePoint now);
 	void AdvanceRowsVersion(const std::vector<StoredRow> &rows);
 
-	TableStore &store;            ///< Store.
-	Clock clock;                  ///< Clock, read when an answer arrives.
-	std::string table;            ///< Name of the table.
-	WatchLimits limits;           ///< Timeouts and options.
-	std::vector<StoredRow> pages; ///< Rows of the snapshot being read.
-	std::string next_key;         ///< Start key of its next page; empty before the first page.
-	StoreVersion pages_version;   ///< Version of its first page, from which changes are read afterwards.
-	StoreVersion version;         ///< Version of the whole store up to which this table is known; writes to any table increase it.
-	StoreVersion rows_version;    ///< Version of the last known change of this table; equal on all instances that know that change.
-	StoreVersion advertised;      ///< Version that a peer advertised without sending all changes up to it.
-	StoreVersion call_version;    ///< Value of version when the current call was started.
-	StoreVersion call_advertised; ///< Value of the advertised version when the snapshot read was started.
-	uint64_t call = 0;            ///< Number of the current call; 0 if there is none.
-	uint64_t calls = 0;           ///< Number of calls made.
-	TimePoint call_deadline;      ///< When the current call times out.
-	TimePoint next_call_at;       ///< Earliest time of the next call.
-	TimePoint confirmed_at;       ///< When the local view was last confirmed to be up to date.
-	TimePoint unavailable_since;  ///< When the store became unavailable.
-	Duration backoff{0};          ///< Current backoff; zero after a success.
-	Duration read_timeout{0};     ///< Current timeout for a page.
-	Duration takeover_delay{0};   ///< Time without an update from a peer after which this instance polls; zero to poll always.
-	TimePoint peer_update_at;     ///< When a peer that can reach the store last sent an update.
-	const TableWatch *recovery_probe = nullptr; ///< Watch that probes an unavailable store on behalf of this one; null for none.
+	TableStore &store;                  ///< Store.
+	Clock clock;                        ///< Clock, read when an answer arrives.
+	std::string table;                  ///< Name of the table.
+	WatchLimits limits;                 ///< Timeouts and options.
+	std::vector<StoredRow> pages;       ///< Rows of the snapshot being read.
+	std::string next_key;               ///< Start key of its next page; empty before the first page.
+	StoreVersion pages_version;         ///< Version of its first page, from which changes are read afterwards.
+	StoreVersion version;               ///< Version of the whole store up to which this table is known; writes to any table increase it.
+	StoreVersion rows_version;          ///< Version of the last known change of this table; equal on all instances that know that change.
+	StoreVersion advertised;            ///< Version that a peer advertised without sending all changes up to it.
+	StoreVersion call_version;          ///< Value of version when the current call was started.
+	StoreVersion call_advertised;       ///< Value of the advertised version when the snapshot read was started.
+	uint64_t call = 0;                  ///< Number of the current call; 0 if there is none.
+	uint64_t calls = 0;                 ///< Number of calls made.
+	TimePoint call_deadline;            ///< When the current call times out.
+	TimePoint next_call_at;             ///< Earliest time of the next call.
+	TimePoint confirmed_at;             ///< When the local view was last confirmed to be up to date.
+	TimePoint unavailable_since;        ///< When the store became unavailable.
+	Duration backoff{0};                ///< Current backoff; zero after a success.
+	Duration read_timeout{0};           ///< Current timeout for a page.
+	Duration takeover_delay{0};         ///< Time without an update from a peer after which this instance polls; zero to poll always.
+	TimePoint peer_update_at;           ///< When a peer that can reach the store last sent an update.
+	const TableWatch *prober = nullptr; ///< Watch that probes an unavailable store on behalf of this one; null for none.
 	const TableWatch *lead_table = nullptr;     ///< Table to which this one is coupled, see SetLeadTable(); null for none.
 	bool awaits_probe = false;                  ///< Probing is left to the other watch at present.
 	bool behind = false;                        ///< A peer advertised changes that have to be read from the store.
@@ -217,7 +217,7 @@
 	bool needs_snapshot = true;                 ///< A snapshot is needed, from the first peer that sends one.
 	TimePoint snapshot_due;                     ///< When it is read from the store otherwise.
 	std::map<std::string, StoredRow> kept_rows; ///< Rows by key, if they are kept.
-	bool lost = false;                          ///< The store is unavailable.
+	bool unavailable = false;                   ///< The store is unavailable.
 	std::shared_ptr<bool> alive;                ///< False after destruction; held by the callbacks of calls.
 };
 
--- a/src/tests/fake_platform.h
+++ b/src/tests/fake_platform.h
@@ -36,19 +36,19 @@
 
 	void ScanRows(const std::string &prefix, const std::string &after, ScanDone done) override
 	{
-		this->Later([this, prefix, after, done = std::move(done)] {
-			if (this->Draw(this->not_sent) || this->down) return done(Error{Step::Table, "fake", "not sent"});
+		this->Enqueue([this, prefix, after, done = std::move(done)] {
+			if (this->Chance(this->not_sent) || this->down) return done(Error{Step::Table, "fake", "not sent"});
 			std::vector<PlatformRow> found;
 			for (auto it = this->rows.upper_bound(std::max(prefix, after)); it != this->rows.end() && found.size() < SCAN_PAGE; ++it) {
 				if (it->first.starts_with(prefix)) found.push_back(it->second);
 			}
-			this->Later([done, found] { done(found); });
+			this->Enqueue([done, found] { done(found); });
 		});
 	}
 
 	void ListInstances(ListDone done) override
 	{
-		this->Later([done = std::move(done)] { done(std::vector<ListedInstance>{}); });
+		this->Enqueue([done = std::move(done)] { done(std::vector<ListedInstance>{}); });
 	}
 
 	/** Run up to \a count pending steps, in random order. */
@@ -75,20 +75,20 @@
 	std::map<std::string, PlatformRow> rows; ///< Rows and objects by key.
 
 private:
-	bool Draw(double part) { return static_cast<double>(this->random() % 10000) < part * 10000; }
-	void Later(std::function<void()> step) { this->waiting.push_back(std::move(step)); }
+	bool Chance(double probability) { return static_cast<double>(this->random() % 10000) < probability * 10000; }
+	void Enqueue(std::function<void()> step) { this->waiting.push_back(std::move(step)); }
 
 	void Read(const std::string &key, ReadDone done)
 	{
-		this->Later([this, key, done = std::move(done)] {
-			if (this->Draw(this->not_sent) || this->down) return done(Error{Step::Table, "fake", "not sent"});
+		this->Enqueue([this, key, done = std::move(done)] {
+			if (this->Chance(this->not_sent) || this->down) return done(Error{Step::Table, "fake", "not sent"});
 			auto found = this->rows.find(key);
 			PlatformRow row = found == this->rows.end() ? PlatformRow{key, "", ""} : found->second;
-			this->Later([done, row] { done(row); });
+			this->Enqueue([done, row] { done(row); });
 		});
 	}
 
-	WriteOutcome Effect(const std::string &key, const std::string &value, const std::string &version)
+	WriteOutcome ApplyWrite(const std::string &key, const std::string &value, const std::string &version)
 	{
 		auto found = this->rows.find(key);
 		std::string present = found == this->rows.end() ? "" : found->second.version;
@@ -100,15 +100,15 @@
 
 	void Write(const std::string &key, const std::string &value, const std::string &version, WriteDone done)
 	{
-		this->Later([=, this, done = std::move(done)] {
-			if (this->Draw(this->not_sent) || this->down) return done({WriteResult::NotDone, ""});
-			if (this->Draw(this->late_effects)) {
-				this->Later([=, this] { this->Effect(key, value, version); });
+		this->Enqueue([=, this, done = std::move(done)] {
+			if (this->Chance(this->not_sent) || this->down) return done({WriteResult::NotDone, ""});
+			if (this->Chance(this->late_effects)) {
+				this->Enqueue([=, this] { this->ApplyWrite(key, value, version); });
 				return done({WriteResult::Unknown, ""});
 			}
-			WriteOutcome outcome = this->Effect(key, value, version);
-			if (this->Draw(this->lost_answers)) outcome = {WriteResult::Unknown, ""};
-			this->Later([done, outcome] { done(outcome); });
+			WriteOutcome outcome = this->ApplyWrite(key, value, version);
+			if (this->Chance(this->lost_answers)) outcome = {WriteResult::Unknown, ""};
+			this->Enqueue([done, outcome] { done(outcome); });
 		});
 	}
 
--- a/src/tests/net_test.cpp
+++ b/src/tests/net_test.cpp
@@ -63,8 +63,8 @@
 };
 
 /** An event loop that a test runs for a while, and a plain listening socket. */
-struct Bench {
-	Bench() { uv_loop_init(&this->loop); }
+struct LoopFixture {
+	LoopFixture() { uv_loop_init(&this->loop); }
 
 	void Run(int ms)
 	{
@@ -92,7 +92,7 @@
 
 	int Accept() const { return accept(this->listener, nullptr, nullptr); }
 
-	~Bench()
+	~LoopFixture()
 	{
 		if (this->listener >= 0) close(this->listener);
 		this->Run(5);
@@ -103,7 +103,7 @@
 };
 
 /** An upstream call and its recorded result. */
-struct CallProbe {
+struct RecordedCall {
 	UpstreamCall Make(uint16_t port, const std::string &id)
 	{
 		UpstreamCall call;
@@ -113,9 +113,9 @@
 		call.target = "/x/";
 		call.body = "body";
 		call.on_head = [this, id](const HttpHead &head) {
-			bool mine = FindHeader(head.headers, "Id") == id;
-			if (mine) this->status = head.status;
-			return mine;
+			bool matches = FindHeader(head.headers, "Id") == id;
+			if (matches) this->status = head.status;
+			return matches;
 		};
 		call.on_body = [this](std::string_view bytes) { this->body.append(bytes); };
 		call.on_end = [this](UpstreamEnd how, const char *) {
@@ -137,19 +137,19 @@
 {
 	for (bool reset : {false, true}) {
 		CAPTURE(reset);
-		Bench bench;
-		uint16_t port = bench.Listen();
-		HttpUpstream upstream(&bench.loop);
-		CallProbe probe;
+		LoopFixture fixture;
+		uint16_t port = fixture.Listen();
+		HttpUpstream upstream(&fixture.loop);
+		RecordedCall probe;
 		upstream.Start(probe.Make(port, "a"));
-		bench.Run(20);
-		PlainSocket peer(bench.Accept());
+		fixture.Run(20);
+		PlainSocket peer(fixture.Accept());
 		// Both the bytes and the end arrive before the event loop runs again.
 		peer.Receive();
 		peer.Send("HTTP/1.1 200 OK\r\nId: a\r\n\r\nhalf of an ans");
 		if (reset) peer.Reset();
 		if (!reset) peer.Close();
-		bench.Run(30);
+		fixture.Run(30);
 		CHECK(probe.ended == 1);
 		CHECK(probe.end == (reset ? UpstreamEnd::Broken : UpstreamEnd::Complete));
 		upstream.Shutdown();
@@ -158,24 +158,24 @@
 
 TEST_CASE("Upstream - a connection is reused, and a request is not sent twice if the connection was closed")
 {
-	Bench bench;
-	uint16_t port = bench.Listen();
-	HttpUpstream upstream(&bench.loop);
-	CallProbe first;
+	LoopFixture fixture;
+	uint16_t port = fixture.Listen();
+	HttpUpstream upstream(&fixture.loop);
+	RecordedCall first;
 	upstream.Start(first.Make(port, "a"));
-	bench.Run(20);
-	PlainSocket peer(bench.Accept());
+	fixture.Run(20);
+	PlainSocket peer(fixture.Accept());
 	peer.Receive();
 	peer.Send("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nok");
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(first.end == UpstreamEnd::Complete);
-	CallProbe second;
+	RecordedCall second;
 	upstream.Start(second.Make(port, "b"));
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(upstream.Counters().connects == 1);
 	CHECK(peer.Receive().find("POST /x/") == 0);
 	peer.Reset();
-	bench.Run(30);
+	fixture.Run(30);
 	CHECK(second.ended == 1);
 	CHECK(second.end == UpstreamEnd::Broken);
 	CHECK(upstream.Counters().connects == 1);
@@ -184,58 +184,58 @@
 
 TEST_CASE("Upstream - an answer to an earlier request is dropped")
 {
-	Bench bench;
-	uint16_t port = bench.Listen();
-	HttpUpstream upstream(&bench.loop);
-	CallProbe probe;
+	LoopFixture fixture;
+	uint16_t port = fixture.Listen();
+	HttpUpstream upstream(&fixture.loop);
+	RecordedCall probe;
 	upstream.Start(probe.Make(port, "b"));
-	bench.Run(20);
-	PlainSocket peer(bench.Accept());
+	fixture.Run(20);
+	PlainSocket peer(fixture.Accept());
 	peer.Send("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 5\r\n\r\nstale");
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(probe.ended == 0);
 	peer.Send("HTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 4\r\n\r\nours");
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(probe.end == UpstreamEnd::Complete);
 	CHECK(probe.body == "ours");
 	CHECK(upstream.Counters().stray_answers == 1);
-	CallProbe next;
+	RecordedCall next;
 	upstream.Start(next.Make(port, "c"));
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(upstream.Counters().connects == 2);
 	upstream.Shutdown();
 }
 
 TEST_CASE("Upstream - a connection with extra bytes behind an answer is not reused")
 {
-	Bench bench;
-	uint16_t port = bench.Listen();
-	HttpUpstream upstream(&bench.loop);
-	CallProbe probe;
+	LoopFixture fixture;
+	uint16_t port = fixture.Listen();
+	HttpUpstream upstream(&fixture.loop);
+	RecordedCall probe;
 	upstream.Start(probe.Make(port, "a"));
-	bench.Run(20);
-	PlainSocket peer(bench.Accept());
+	fixture.Run(20);
+	PlainSocket peer(fixture.Accept());
 	peer.Send("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nok");
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(probe.end == UpstreamEnd::Complete);
 	CHECK(probe.body == "ok");
-	CallProbe next;
+	RecordedCall next;
 	upstream.Start(next.Make(port, "b"));
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(upstream.Counters().connects == 2);
 	upstream.Shutdown();
 }
 
 TEST_CASE("Upstream - a refused connection counts as not sent")
 {
-	Bench bench;
-	uint16_t port = bench.Listen();
-	close(bench.listener);
-	bench.listener = -1;
-	HttpUpstream upstream(&bench.loop);
-	CallProbe probe;
+	LoopFixture fixture;
+	uint16_t port = fixture.Listen();
+	close(fixture.listener);
+	fixture.listener = -1;
+	HttpUpstream upstream(&fixture.loop);
+	RecordedCall probe;
 	upstream.Start(probe.Make(port, "a"));
-	bench.Run(30);
+	fixture.Run(30);
 	CHECK(probe.ended == 1);
 	CHECK(probe.end == UpstreamEnd::Refused);
 	CHECK(IsCertainlyUnsent(probe.end));
@@ -246,46 +246,46 @@
 {
 	for (bool reset : {false, true}) {
 		CAPTURE(reset);
-		Bench bench;
-		std::shared_ptr<FrontExchange> taken;
+		LoopFixture fixture;
+		std::shared_ptr<FrontExchange> received;
 		bool gone = false;
 		{
-			HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &exchange) {
-				taken = exchange;
+			HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &exchange) {
+				received = exchange;
 				exchange->on_disconnect = [&] { gone = true; };
 			});
 			uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 			PlainSocket caller(PlainSocket::Connect(port));
 			caller.Send("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi");
-			bench.Run(20);
-			REQUIRE(taken);
-			CHECK(taken->body == "hi");
+			fixture.Run(20);
+			REQUIRE(received);
+			CHECK(received->body == "hi");
 			CHECK(!gone);
 			if (reset) caller.Reset();
 			if (!reset) caller.Close();
-			bench.Run(20);
+			fixture.Run(20);
 			CHECK(gone);
-			CHECK(taken->IsOver());
+			CHECK(received->IsOver());
 		}
 	}
 }
 
 TEST_CASE("Front - pipelined requests are answered one by one, in order")
 {
-	Bench bench;
-	std::vector<std::shared_ptr<FrontExchange>> taken;
-	HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &exchange) { taken.push_back(exchange); });
+	LoopFixture fixture;
+	std::vector<std::shared_ptr<FrontExchange>> received;
+	HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &exchange) { received.push_back(exchange); });
 	uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 	PlainSocket caller(PlainSocket::Connect(port));
 	caller.Send("GET /1/ HTTP/1.1\r\nHost: h\r\n\r\nGET /2/ HTTP/1.1\r\nHost: h\r\n\r\n");
-	bench.Run(20);
-	REQUIRE(taken.size() == 1);
-	taken[0]->Respond(200, {}, "one");
-	bench.Run(20);
-	REQUIRE(taken.size() == 2);
-	CHECK(taken[1]->head.target == "/2/");
-	taken[1]->Respond(200, {}, "two");
-	bench.Run(20);
+	fixture.Run(20);
+	REQUIRE(received.size() == 1);
+	received[0]->Respond(200, {}, "one");
+	fixture.Run(20);
+	REQUIRE(received.size() == 2);
+	CHECK(received[1]->head.target == "/2/");
+	received[1]->Respond(200, {}, "two");
+	fixture.Run(20);
 	std::string answers = caller.Receive();
 	CHECK(answers.find("one") < answers.find("two"));
 }
@@ -301,13 +301,13 @@
 	};
 	for (const std::string &text : bad) {
 		CAPTURE(text);
-		Bench bench;
+		LoopFixture fixture;
 		int handled = 0;
-		HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &) { handled++; });
+		HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &) { handled++; });
 		uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 		PlainSocket caller(PlainSocket::Connect(port));
 		caller.Send(text);
-		bench.Run(20);
+		fixture.Run(20);
 		CHECK(handled == 0);
 		CHECK(caller.Receive().find("HTTP/1.1 400") == 0);
 	}
@@ -315,8 +315,8 @@
 
 TEST_CASE("Front - heads and bodies beyond their limits are rejected with 431 and 413")
 {
-	Bench bench;
-	HttpFront front(&bench.loop, [](const std::shared_ptr<FrontExchange> &exchange) { exchange->Respond(200, {}, {}); });
+	LoopFixture fixture;
+	HttpFront front(&fixture.loop, [](const std::shared_ptr<FrontExchange> &exchange) { exchange->Respond(200, {}, {}); });
 	front.limits.max_head_bytes = 200;
 	front.limits.max_body_bytes = 10;
 	uint16_t port = front.Listen({"127.0.0.1", 0}).value();
@@ -326,7 +326,7 @@
 	long_body.Send("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n");
 	PlainSocket long_chunks(PlainSocket::Connect(port));
 	long_chunks.Send("POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n12345678901\r\n0\r\n\r\n");
-	bench.Run(30);
+	fixture.Run(30);
 	CHECK(long_head.Receive().find("HTTP/1.1 431") == 0);
 	CHECK(long_body.Receive().find("HTTP/1.1 413") == 0);
 	CHECK(long_chunks.Receive().find("HTTP/1.1 413") == 0);
@@ -334,21 +334,21 @@
 
 TEST_CASE("Front - an aborted answer does not look complete")
 {
-	Bench bench;
-	std::shared_ptr<FrontExchange> taken;
-	HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &exchange) { taken = exchange; });
+	LoopFixture fixture;
+	std::shared_ptr<FrontExchange> received;
+	HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &exchange) { received = exchange; });
 	uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 	PlainSocket caller(PlainSocket::Connect(port));
 	caller.Send("GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n");
-	bench.Run(20);
-	taken->Start(200, {}, std::nullopt);
-	taken->Write("part");
-	bench.Run(10);
+	fixture.Run(20);
+	received->Start(200, {}, std::nullopt);
+	received->Write("part");
+	fixture.Run(10);
 	std::string got = caller.Receive();
-	taken->Abort();
-	bench.Run(20);
+	received->Abort();
+	fixture.Run(20);
 	got += caller.Receive();
 	CHECK(got.find("part") != std::string::npos);
 	CHECK(got.find("0\r\n\r\n") == std::string::npos);
-	CHECK(taken->IsOver());
+	CHECK(received->IsOver());
 }
--- a/src/tests/platform_test.cpp
+++ b/src/tests/platform_test.cpp
@@ -109,13 +109,13 @@
 		text.replace(text.find(from), from.size(), to);
 		return text;
 	};
-	for (const std::string &strange :
+	for (const std::string &invalid_row :
 	     {changed("\"a\"", "5"), changed("\"service\":\"a\",", ""), changed("10.0.0.1:80", "nowhere"), changed("\"z\"", "null"),
 	      changed("4", "\"4\""), changed("4", "0"), changed("ready", "warming"), changed("\"ready\"", "true"),
 	      changed(",\"sequence\":1", ""), changed("Ms\":0", "Ms\":[]"), changed("}", ",\"born\":\"x\"}"), changed("}", ",\"born\":-5}"),
 	      changed("}", ",\"born\":1.5}"), std::string("\xff\x00\x01", 3), std::string("[]")}) {
-		CAPTURE(strange);
-		CHECK_FALSE(DecodeTargetRow({"i-1", strange, 1, false}));
+		CAPTURE(invalid_row);
+		CHECK_FALSE(DecodeTargetRow({"i-1", invalid_row, 1, false}));
 	}
 	CHECK(DecodeTargetRow({"i-1", changed("}", ",\"born\":1764723600123,\"new\":[1]}"), 1, false}).value().target->incarnation.started_ms ==
 	      1764723600123);
@@ -222,16 +222,16 @@
 TEST_CASE("Platform answers - a target's rate limit is the lowest decimal number, and invalid values are ignored")
 {
 	CHECK(SignsOf(200, {}) == TargetSignals{});
-	TargetSignals said = SignsOf(200, {{"server-limit", "2.4"}});
-	CHECK(said.limit == SignalState::Present);
-	CHECK(said.limit_per_s == doctest::Approx(2.4));
+	TargetSignals parsed = SignsOf(200, {{"server-limit", "2.4"}});
+	CHECK(parsed.limit == SignalState::Present);
+	CHECK(parsed.limit_per_s == doctest::Approx(2.4));
 	CHECK(SignsOf(503, {{"Server-Limit", "7"}, {"Server-Limit", "3"}}).limit_per_s == doctest::Approx(3));
 	CHECK(SignsOf(200, {{"Server-Limit", "0"}}).limit == SignalState::Present);
 	CHECK(SignsOf(200, {{"Server-Limit", "99999999999999999999"}}).limit_per_s == doctest::Approx(1e6));
 	for (const char *bad : {"-1", "1e300", "inf", "nan", "x", "1.2.3", ".", "+1", "1 2", "999999999999999999999999999999999"}) {
-		TargetSignals unread = SignsOf(200, {{"Server-Limit", bad}});
-		CHECK_MESSAGE(unread.limit == SignalState::Unreadable, bad);
-		CHECK(unread.unreadable);
+		TargetSignals invalid = SignsOf(200, {{"Server-Limit", bad}});
+		CHECK_MESSAGE(invalid.limit == SignalState::Unreadable, bad);
+		CHECK(invalid.unreadable);
 	}
 	CHECK(SignsOf(200, {{"Server-Limit", "x"}, {"Server-Limit", "3"}}).limit == SignalState::Present);
 	CHECK(SignsOf(421, {{"Server-Limit", "3"}, {"Server-Leaving", "1"}}) == TargetSignals{});
--- a/src/tests/sharing_property_test.cpp
+++ b/src/tests/sharing_property_test.cpp
@@ -12,89 +12,89 @@
 using std::chrono::seconds;
 
 /** Time in which instances that start together agree on the reader order. */
-static constexpr Duration SETTLED = seconds(4);
+static constexpr Duration SETTLE_TIME = seconds(4);
 
 TEST_CASE("Sharing - one of 295 instances in five halls reads a table, and all receive a change within 100 ms")
 {
-	SharingSimulation world({5, 59});
-	world.Advance(SETTLED);
+	SharingSimulation simulation({5, 59});
+	simulation.Advance(SETTLE_TIME);
 	// Each instance reads one snapshot at its start; none polls before it has heard from its peers.
-	CHECK(world.Calls() <= world.Size() + 20);
-	CHECK(world.OnlyReader() >= 0);
-	uint64_t before = world.Calls();
-	world.Advance(seconds(10));
-	CHECK(world.OnlyReader() >= 0);
+	CHECK(simulation.Calls() <= simulation.Size() + 20);
+	CHECK(simulation.OnlyReader() >= 0);
+	uint64_t before = simulation.Calls();
+	simulation.Advance(seconds(10));
+	CHECK(simulation.OnlyReader() >= 0);
 	// A long poll without a change takes half a second, so that one reader makes about two calls per second.
-	CHECK(world.Calls() - before <= 21);
-	TimePoint written = world.Now();
-	uint64_t version = world.Write();
-	world.Advance(milliseconds(100));
-	CHECK(world.CountBehind(version, written) == 0);
+	CHECK(simulation.Calls() - before <= 21);
+	TimePoint written = simulation.Now();
+	uint64_t version = simulation.Write();
+	simulation.Advance(milliseconds(100));
+	CHECK(simulation.CountBehind(version, written) == 0);
 }
 
 TEST_CASE("Sharing - 295 instances that restart at the same time call the store about once each")
 {
-	SharingSimulation world({5, 59});
-	world.Advance(SETTLED);
-	for (size_t i = 0; i < world.Size(); i++) world.Kill(i);
-	world.Advance(milliseconds(1500));
-	uint64_t before = world.Calls();
-	TimePoint written = world.Now();
-	uint64_t version = world.Write();
-	for (size_t i = 0; i < world.Size(); i++) world.Restart(i);
-	world.Advance(milliseconds(100));
-	CHECK(world.CountBehind(version, written) == 0);
-	world.Advance(SETTLED);
-	CHECK(world.Calls() - before <= world.Size() + 20);
-	CHECK(world.OnlyReader() >= 0);
+	SharingSimulation simulation({5, 59});
+	simulation.Advance(SETTLE_TIME);
+	for (size_t i = 0; i < simulation.Size(); i++) simulation.Kill(i);
+	simulation.Advance(milliseconds(1500));
+	uint64_t before = simulation.Calls();
+	TimePoint written = simulation.Now();
+	uint64_t version = simulation.Write();
+	for (size_t i = 0; i < simulation.Size(); i++) simulation.Restart(i);
+	simulation.Advance(milliseconds(100));
+	CHECK(simulation.CountBehind(version, written) == 0);
+	simulation.Advance(SETTLE_TIME);
+	CHECK(simulation.Calls() - before <= simulation.Size() + 20);
+	CHECK(simulation.OnlyReader() >= 0);
 }
 
 TEST_CASE("Sharing - a change arrives in time at all instances that can reach the store, despite crashes and partitions")
 {
 	bool good = rc::check("whatever fails", [] {
 		SharingSimulationLayout layout{*rc::gen::inRange<size_t>(2, 6), *rc::gen::inRange<size_t>(2, 10)};
-		SharingSimulation world(layout);
-		world.Advance(SETTLED);
-		auto any = [&] { return *rc::gen::inRange<size_t>(0, world.Size()); };
-		auto reader_or_any = [&] { return world.OnlyReader() >= 0 ? static_cast<size_t>(world.OnlyReader()) : any(); };
+		SharingSimulation simulation(layout);
+		simulation.Advance(SETTLE_TIME);
+		auto any = [&] { return *rc::gen::inRange<size_t>(0, simulation.Size()); };
+		auto reader_or_any = [&] { return simulation.OnlyReader() >= 0 ? static_cast<size_t>(simulation.OnlyReader()) : any(); };
 		for (int step = 0; step < 10; step++) {
 			switch (*rc::gen::inRange(0, 8)) {
 			case 0:
-				world.Kill(reader_or_any());
+				simulation.Kill(reader_or_any());
 				break;
 			case 1:
-				world.Kill(any());
+				simulation.Kill(any());
 				break;
 			case 2:
-				world.Restart(any());
+				simulation.Restart(any());
 				break;
 			case 3:
-				world.SetStoreReachable(reader_or_any(), false);
+				simulation.SetStoreReachable(reader_or_any(), false);
 				break;
 			case 4:
-				world.SetStoreReachable(any(), *rc::gen::arbitrary<bool>());
+				simulation.SetStoreReachable(any(), *rc::gen::arbitrary<bool>());
 				break;
 			case 5:
-				world.Partition(*rc::gen::inRange<size_t>(0, layout.halls), *rc::gen::arbitrary<bool>());
+				simulation.Partition(*rc::gen::inRange<size_t>(0, layout.halls), *rc::gen::arbitrary<bool>());
 				break;
 			default:
-				world.HealPartition(*rc::gen::inRange<size_t>(0, layout.halls));
+				simulation.HealPartition(*rc::gen::inRange<size_t>(0, layout.halls));
 				break;
 			}
-			world.Advance(milliseconds(*rc::gen::inRange(0, 700)));
-			TimePoint written = world.Now();
-			uint64_t version = world.Write();
-			world.Advance(world.MaxPropagationDelay());
-			RC_ASSERT(world.CountBehind(version, written) == 0U);
+			simulation.Advance(milliseconds(*rc::gen::inRange(0, 700)));
+			TimePoint written = simulation.Now();
+			uint64_t version = simulation.Write();
+			simulation.Advance(simulation.MaxPropagationDelay());
+			RC_ASSERT(simulation.CountBehind(version, written) == 0U);
 		}
 		// After all failures have ended there is one reader again.
-		for (size_t hall = 0; hall < layout.halls; hall++) world.HealPartition(hall);
-		for (size_t i = 0; i < world.Size(); i++) {
-			world.Restart(i);
-			world.SetStoreReachable(i, true);
+		for (size_t hall = 0; hall < layout.halls; hall++) simulation.HealPartition(hall);
+		for (size_t i = 0; i < simulation.Size(); i++) {
+			simulation.Restart(i);
+			simulation.SetStoreReachable(i, true);
 		}
-		world.Advance(SETTLED);
-		RC_ASSERT(world.OnlyReader() >= 0);
+		simulation.Advance(SETTLE_TIME);
+		RC_ASSERT(simulation.OnlyReader() >= 0);
 	});
 	CHECK(good);
 }
@@ -102,25 +102,25 @@
 TEST_CASE("Sharing - a store that was restored from a backup gets a bounded number of calls, and later changes arrive in time")
 {
 	for (auto [halls, per_hall] : {std::pair<size_t, size_t>{2, 4}, {2, 31}, {5, 59}}) {
-		SharingSimulation world({halls, per_hall});
-		world.Advance(SETTLED);
-		world.TakeBackup();
-		world.WriteElsewhere(500);
-		world.Write();
-		world.Advance(seconds(2));
-		world.StopStore();
-		world.Advance(milliseconds(2500));
-		uint64_t before = world.Calls();
-		world.RestoreBackup(std::nullopt);
-		world.Advance(milliseconds(300));
-		TimePoint written = world.Now();
-		uint64_t content = world.Write();
-		world.Advance(world.MaxPropagationDelay());
-		CHECK(world.CountBehind(content, written) == 0);
-		world.Advance(seconds(10));
-		MESSAGE("instances ", world.Size(), ": calls in the twelve seconds after the return ", world.Calls() - before);
-		CHECK(world.Calls() - before <= 2 * world.Size() + 60);
-		CHECK(world.OnlyReader() >= 0);
+		SharingSimulation simulation({halls, per_hall});
+		simulation.Advance(SETTLE_TIME);
+		simulation.TakeBackup();
+		simulation.WriteElsewhere(500);
+		simulation.Write();
+		simulation.Advance(seconds(2));
+		simulation.StopStore();
+		simulation.Advance(milliseconds(2500));
+		uint64_t before = simulation.Calls();
+		simulation.RestoreBackup(std::nullopt);
+		simulation.Advance(milliseconds(300));
+		TimePoint written = simulation.Now();
+		uint64_t content = simulation.Write();
+		simulation.Advance(simulation.MaxPropagationDelay());
+		CHECK(simulation.CountBehind(content, written) == 0);
+		simulation.Advance(seconds(10));
+		MESSAGE("instances ", simulation.Size(), ": calls in the twelve seconds after the return ", simulation.Calls() - before);
+		CHECK(simulation.Calls() - before <= 2 * simulation.Size() + 60);
+		CHECK(simulation.OnlyReader() >= 0);
 	}
 }
 
@@ -128,50 +128,50 @@
 {
 	bool good = rc::check("copies", [] {
 		SharingSimulationLayout layout{*rc::gen::inRange<size_t>(2, 5), *rc::gen::inRange<size_t>(1, 11)};
-		SharingSimulation world(layout);
-		world.Advance(SETTLED);
-		auto any = [&] { return *rc::gen::inRange<size_t>(0, world.Size()); };
+		SharingSimulation simulation(layout);
+		simulation.Advance(SETTLE_TIME);
+		auto any = [&] { return *rc::gen::inRange<size_t>(0, simulation.Size()); };
 		for (int step = 0; step < 8; step++) {
-			world.TakeBackup();
+			simulation.TakeBackup();
 			// The restore loses some writes: as many as are made after it, or more, or fewer.
-			for (int i = *rc::gen::inRange(0, 3); i > 0; i--) world.Write();
-			world.WriteElsewhere(*rc::gen::inRange<uint64_t>(0, 4));
-			world.Advance(milliseconds(*rc::gen::inRange(0, 900)));
+			for (int i = *rc::gen::inRange(0, 3); i > 0; i--) simulation.Write();
+			simulation.WriteElsewhere(*rc::gen::inRange<uint64_t>(0, 4));
+			simulation.Advance(milliseconds(*rc::gen::inRange(0, 900)));
 			for (int i = *rc::gen::inRange(0, 3); i > 0; i--) {
 				switch (*rc::gen::inRange(0, 6)) {
 				case 0:
-					world.Kill(any());
+					simulation.Kill(any());
 					break;
 				case 1:
 				case 2:
-					world.Restart(any());
+					simulation.Restart(any());
 					break;
 				case 3:
-					world.SetStoreReachable(any(), *rc::gen::arbitrary<bool>());
+					simulation.SetStoreReachable(any(), *rc::gen::arbitrary<bool>());
 					break;
 				case 4:
-					world.Partition(*rc::gen::inRange<size_t>(0, layout.halls), *rc::gen::arbitrary<bool>());
+					simulation.Partition(*rc::gen::inRange<size_t>(0, layout.halls), *rc::gen::arbitrary<bool>());
 					break;
 				default:
-					world.HealPartition(*rc::gen::inRange<size_t>(0, layout.halls));
+					simulation.HealPartition(*rc::gen::inRange<size_t>(0, layout.halls));
 					break;
 				}
-				world.Advance(milliseconds(*rc::gen::inRange(0, 300)));
+				simulation.Advance(milliseconds(*rc::gen::inRange(0, 300)));
 			}
 			for (int i = *rc::gen::inRange(1, 3); i > 0; i--) {
-				if (*rc::gen::arbitrary<bool>()) world.StopStore();
-				world.Advance(milliseconds(*rc::gen::inRange(0, 1500)));
+				if (*rc::gen::arbitrary<bool>()) simulation.StopStore();
+				simulation.Advance(milliseconds(*rc::gen::inRange(0, 1500)));
 				bool late = *rc::gen::arbitrary<bool>();
-				world.RestoreBackup(late ? std::optional<Duration>(milliseconds(*rc::gen::inRange(1, 1500))) : std::nullopt);
-				if (*rc::gen::arbitrary<bool>()) world.RewriteLast();
-				world.WriteElsewhere(*rc::gen::inRange<uint64_t>(0, 4));
+				simulation.RestoreBackup(late ? std::optional<Duration>(milliseconds(*rc::gen::inRange(1, 1500))) : std::nullopt);
+				if (*rc::gen::arbitrary<bool>()) simulation.RewriteLast();
+				simulation.WriteElsewhere(*rc::gen::inRange<uint64_t>(0, 4));
 			}
-			world.Advance(milliseconds(*rc::gen::inRange(0, 700)));
-			TimePoint written = world.Now();
-			uint64_t content = world.Write();
-			world.Advance(world.MaxPropagationDelay());
-			RC_ASSERT(world.CountBehind(content, written) == 0U);
-			RC_ASSERT(world.Reverts() == 0U);
+			simulation.Advance(milliseconds(*rc::gen::inRange(0, 700)));
+			TimePoint written = simulation.Now();
+			uint64_t content = simulation.Write();
+			simulation.Advance(simulation.MaxPropagationDelay());
+			RC_ASSERT(simulation.CountBehind(content, written) == 0U);
+			RC_ASSERT(simulation.Reverts() == 0U);
 		}
 	});
 	CHECK(good);
--- a/src/tests/sharing_simulation.cpp
+++ b/src/tests/sharing_simulation.cpp
@@ -38,24 +38,24 @@
 };
 
 /** An instance's client of the simulated store. */
-class SharingSimulation::View : public TableStore {
+class SharingSimulation::StoreClient : public TableStore {
 public:
-	View(SharingSimulation &world, Instance &instance) : world(world), instance(instance) {}
+	StoreClient(SharingSimulation &simulation, Instance &instance) : simulation(simulation), instance(instance) {}
 
 	uint64_t ReadRows(const std::string &, const std::string &, RowsDone done) override
 	{
 		uint64_t call = this->Begin(std::move(done));
-		this->world.Schedule(STORE_ANSWER, [w = &this->world, call] { w->Answer(call, w->Snapshot()); });
+		this->simulation.Schedule(STORE_ANSWER, [w = &this->simulation, call] { w->Answer(call, w->Snapshot()); });
 		return call;
 	}
 
 	uint64_t ReadChanges(const std::string &, uint64_t since, Duration wait, RowsDone done) override
 	{
 		uint64_t call = this->Begin(std::move(done));
-		bool at_once = wait == Duration(0) || since != this->world.state.version;
-		if (!at_once) this->world.waiting_calls[call] = since;
-		this->world.Schedule(STORE_ANSWER + (at_once ? Duration(0) : wait),
-		                     [w = &this->world, call, since] { w->Answer(call, w->Changes(since)); });
+		bool at_once = wait == Duration(0) || since != this->simulation.state.version;
+		if (!at_once) this->simulation.waiting_calls[call] = since;
+		this->simulation.Schedule(STORE_ANSWER + (at_once ? Duration(0) : wait),
+		                          [w = &this->simulation, call, since] { w->Answer(call, w->Changes(since)); });
 		return call;
 	}
 
@@ -64,22 +64,22 @@
 
 	void Cancel(uint64_t call) override
 	{
-		this->world.open_calls.erase(call);
-		this->world.waiting_calls.erase(call);
+		this->simulation.open_calls.erase(call);
+		this->simulation.waiting_calls.erase(call);
 	}
 
 private:
 	uint64_t Begin(RowsDone done)
 	{
-		uint64_t call = this->world.next_call++;
-		this->world.calls++;
-		this->world.caller[call] = &this->instance;
-		this->world.open_calls[call] = std::move(done);
+		uint64_t call = this->simulation.next_call++;
+		this->simulation.calls++;
+		this->simulation.caller[call] = &this->instance;
+		this->simulation.open_calls[call] = std::move(done);
 		return call;
 	}
 
-	SharingSimulation &world; ///< Simulation.
-	Instance &instance;       ///< Instance that makes the calls.
+	SharingSimulation &simulation; ///< Simulation.
+	Instance &instance;            ///< Instance that makes the calls.
 };
 
 SharingSimulation::SharingSimulation(SharingSimulationLayout layout) : layout(layout), limits(GatewayLimitsFor(NodeSettings{}))
@@ -101,7 +101,7 @@
 	this->instances.clear();
 }
 
-double SharingSimulation::LinkOf(size_t number) const
+double SharingSimulation::LinkMbps(size_t number) const
 {
 	static constexpr size_t FAST = 3; // Number of instances with faster links, per hall.
 	return number % this->layout.per_hall < FAST ? 200 : 20;
@@ -136,12 +136,12 @@
 	instance.started = instance.reachable_since = this->now;
 	instance.readers_at = instance.heartbeat_at = TimePoint{};
 	instance.heard.clear();
-	instance.store = std::make_unique<View>(*this, instance);
+	instance.store = std::make_unique<StoreClient>(*this, instance);
 	instance.watch = std::make_unique<TableWatch>(*instance.store, "table", this->limits.watch, [this] { return this->now; });
 	instance.sharing = std::make_unique<TableSharing>(instance.name, hall);
 	instance.directory = std::make_unique<PeerDirectory>(instance.name, hall, this->limits.exchange.dial);
 	for (const auto &other : this->instances) {
-		PeerLocation place{other->name, "hall-" + std::to_string(other->hall), this->LinkOf(other->number)};
+		PeerLocation place{other->name, "hall-" + std::to_string(other->hall), this->LinkMbps(other->number)};
 		instance.directory->Update(other->name, place);
 	}
 	instance.sharing->Share(*instance.watch);
@@ -297,7 +297,7 @@
 	}
 	if (this->now - instance.readers_at >= times.readers_refresh_interval) {
 		instance.readers_at = this->now;
-		std::vector<Reader> readers{{instance.name, this->LinkOf(instance.number)}};
+		std::vector<Reader> readers{{instance.name, this->LinkMbps(instance.number)}};
 		for (const auto &[peer, at] : instance.heard) readers.push_back({peer, instance.directory->Find(peer)->link_mbps});
 		bool starting_up = this->now - instance.started < times.settle_time;
 		instance.sharing->SetReaders(readers, instance.directory->IsHallOnly() ? instance.directory->Halls() : std::vector<std::string>{},
--- a/src/tests/sharing_simulation.h
+++ b/src/tests/sharing_simulation.h
@@ -91,7 +91,7 @@
 
 private:
 	struct Instance;
-	class View;
+	class StoreClient;
 
 	/** A scheduled event. */
 	struct Event {
@@ -103,7 +103,7 @@
 
 	void Schedule(Duration time, std::function<void()> action);
 	/** @return Bandwidth of the network link of \a instance, in Mbit/s. */
-	double LinkOf(size_t instance) const;
+	double LinkMbps(size_t instance) const;
 	void Tick(Instance &instance);
 	void Dial(Instance &instance);
 	void Send(Instance &instance, const TablesMessage &message, const std::set<std::string> &except);
--- a/src/tests/store_restore_test.cpp
+++ b/src/tests/store_restore_test.cpp
@@ -27,13 +27,13 @@
 	return {id, target};
 }
 
-TargetRow Gone(const std::string &id)
+TargetRow Removed(const std::string &id)
 {
 	return {id, std::nullopt};
 }
 
 /** @return The changes in \a events for the target \a id: "usable" or "leaving" for each. */
-std::string Told(const std::vector<TargetEvent> &events, const std::string &id)
+std::string ChangesOf(const std::vector<TargetEvent> &events, const std::string &id)
 {
 	std::string text;
 	for (const TargetEvent &event : events) {
@@ -43,12 +43,12 @@
 }
 
 /** A registry with targets a to d, of which b is draining and the row of c was removed. */
-struct CopyWorld {
-	CopyWorld()
+struct RestoreFixture {
+	RestoreFixture()
 	{
 		this->registry.OnFullList({Row("a", 5), Row("b", 5), Row("c", 5), Row("d", 5)}, this->now);
 		this->registry.OnChanges({Row("b", 6, true)}, this->now);
-		this->registry.OnChanges({Gone("c")}, this->now);
+		this->registry.OnChanges({Removed("c")}, this->now);
 		this->now += seconds(3);
 		this->registry.OnTick(this->now);
 	}
@@ -61,48 +61,48 @@
 
 TEST_CASE("Store restore - a removed target is not used again because the backup still lists it")
 {
-	CopyWorld world;
-	world.registry.OnStoreRestored(world.now);
-	std::vector<TargetEvent> events = world.registry.OnFullList({Row("a", 5), Row("b", 5), Row("c", 5), Row("d", 5)}, world.now);
-	CHECK(Told(events, "a").empty());
-	CHECK(Told(events, "b").empty());
-	CHECK(Told(events, "c").empty());
-	world.now += seconds(5);
-	CHECK(world.registry.OnTick(world.now).empty());
+	RestoreFixture fixture;
+	fixture.registry.OnStoreRestored(fixture.now);
+	std::vector<TargetEvent> events = fixture.registry.OnFullList({Row("a", 5), Row("b", 5), Row("c", 5), Row("d", 5)}, fixture.now);
+	CHECK(ChangesOf(events, "a").empty());
+	CHECK(ChangesOf(events, "b").empty());
+	CHECK(ChangesOf(events, "c").empty());
+	fixture.now += seconds(5);
+	CHECK(fixture.registry.OnTick(fixture.now).empty());
 	// Neither a repeated removal nor another snapshot of the backup changes that.
-	CHECK(world.registry.OnChanges({Gone("c")}, world.now).empty());
-	CHECK(Told(world.registry.OnFullList({Row("a", 5), Row("c", 5), Row("d", 5)}, world.now), "c").empty());
+	CHECK(fixture.registry.OnChanges({Removed("c")}, fixture.now).empty());
+	CHECK(ChangesOf(fixture.registry.OnFullList({Row("a", 5), Row("c", 5), Row("d", 5)}, fixture.now), "c").empty());
 }
 
 TEST_CASE("Store restore - a live target that had expired is used once it sends a heartbeat, or after a time limit")
 {
 	{
-		CopyWorld world;
-		world.registry.OnStoreRestored(world.now);
-		world.registry.OnFullList({Row("a", 5), Row("c", 5), Row("d", 5)}, world.now);
-		CHECK(Told(world.registry.OnChanges({Row("c", 5)}, world.now), "c") == "usable");
+		RestoreFixture fixture;
+		fixture.registry.OnStoreRestored(fixture.now);
+		fixture.registry.OnFullList({Row("a", 5), Row("c", 5), Row("d", 5)}, fixture.now);
+		CHECK(ChangesOf(fixture.registry.OnChanges({Row("c", 5)}, fixture.now), "c") == "usable");
 	}
 	{
-		CopyWorld world;
-		world.registry.OnStoreRestored(world.now);
-		CHECK(Told(world.registry.OnFullList({Row("a", 5), Row("c", 6), Row("d", 5)}, world.now), "c") == "usable");
+		RestoreFixture fixture;
+		fixture.registry.OnStoreRestored(fixture.now);
+		CHECK(ChangesOf(fixture.registry.OnFullList({Row("a", 5), Row("c", 6), Row("d", 5)}, fixture.now), "c") == "usable");
 	}
 	{
-		CopyWorld world;
-		world.registry.OnStoreRestored(world.now);
-		world.registry.OnFullList({Row("a", 5), Row("c", 5), Row("d", 5)}, world.now);
-		CHECK(world.registry.OnTick(world.now + RegistryLimits{}.restore_distrust_period - milliseconds(1)).empty());
-		CHECK(Told(world.registry.OnTick(world.now + RegistryLimits{}.restore_distrust_period), "c") == "usable");
+		RestoreFixture fixture;
+		fixture.registry.OnStoreRestored(fixture.now);
+		fixture.registry.OnFullList({Row("a", 5), Row("c", 5), Row("d", 5)}, fixture.now);
+		CHECK(fixture.registry.OnTick(fixture.now + RegistryLimits{}.restore_distrust_period - milliseconds(1)).empty());
+		CHECK(ChangesOf(fixture.registry.OnTick(fixture.now + RegistryLimits{}.restore_distrust_period), "c") == "usable");
 	}
 }
 
 TEST_CASE("Store restore - a target missing from the backup stays in use until live targets must have rewritten their rows")
 {
-	CopyWorld world;
-	world.registry.OnStoreRestored(world.now);
-	CHECK(world.registry.OnFullList({Row("a", 5)}, world.now).empty());
-	CHECK(world.registry.OnTick(world.now + RegistryLimits{}.expiry_grace - milliseconds(1)).empty());
-	CHECK(Told(world.registry.OnTick(world.now + RegistryLimits{}.expiry_grace), "d") == "leaving");
+	RestoreFixture fixture;
+	fixture.registry.OnStoreRestored(fixture.now);
+	CHECK(fixture.registry.OnFullList({Row("a", 5)}, fixture.now).empty());
+	CHECK(fixture.registry.OnTick(fixture.now + RegistryLimits{}.expiry_grace - milliseconds(1)).empty());
+	CHECK(ChangesOf(fixture.registry.OnTick(fixture.now + RegistryLimits{}.expiry_grace), "d") == "leaving");
 }
 
 TEST_CASE("Store restore - an evacuated hall stays evacuated until the operator reinstates it, for a bounded time")
@@ -132,15 +132,15 @@
 namespace {
 
 /** Crash records, with a store answered by the test. */
-struct EndsWorld {
-	void Pass(Duration time)
+struct CrashRecordsFixture {
+	void Advance(Duration time)
 	{
 		this->now += time;
 		this->records.OnTick(this->now);
 	}
 
 	/** The store was restored from a backup with the records \a ends. */
-	void ComeBack(const std::vector<CrashRecord> &ends)
+	void RestoreStore(const std::vector<CrashRecord> &ends)
 	{
 		this->records.OnStoreRestored();
 		std::vector<StoredRow> rows;
@@ -167,63 +167,63 @@
 TEST_CASE("Store restore - crash records missing from the backup stay in force and are rewritten, first by the instance in charge")
 {
 	for (bool first : {true, false}) {
-		EndsWorld world;
-		world.records.rewrites_first = [first](const CrashRecord &) { return first; };
-		world.ComeBack({ONE, TWO});
-		CHECK(world.added.size() == 2);
-		world.ComeBack({ONE});
-		CHECK(world.removed.empty());
-		CHECK(world.records.Holds(TWO));
-		world.Pass(milliseconds(25));
-		CHECK(world.store.writes.size() == (first ? 1 : 0));
-		world.Pass(CrashRecordLimits{}.fallback_rewrite_delay);
-		REQUIRE(!world.store.writes.empty());
-		CHECK(ParseCrashKey(world.store.writes[0].key) == TWO);
+		CrashRecordsFixture fixture;
+		fixture.records.rewrites_first = [first](const CrashRecord &) { return first; };
+		fixture.RestoreStore({ONE, TWO});
+		CHECK(fixture.added.size() == 2);
+		fixture.RestoreStore({ONE});
+		CHECK(fixture.removed.empty());
+		CHECK(fixture.records.Holds(TWO));
+		fixture.Advance(milliseconds(25));
+		CHECK(fixture.store.writes.size() == (first ? 1 : 0));
+		fixture.Advance(CrashRecordLimits{}.fallback_rewrite_delay);
+		REQUIRE(!fixture.store.writes.empty());
+		CHECK(ParseCrashKey(fixture.store.writes[0].key) == TWO);
 	}
 	// Other instances don't rewrite a row that has reappeared.
-	EndsWorld world;
-	world.records.rewrites_first = [](const CrashRecord &) { return false; };
-	world.ComeBack({ONE, TWO});
-	world.ComeBack({ONE});
-	world.Pass(milliseconds(500));
-	world.records.Watch().on_changes({{CrashKey(TWO), "", 9, false}}, world.now);
-	world.Pass(CrashRecordLimits{}.fallback_rewrite_delay);
-	CHECK(world.store.writes.empty());
-	CHECK(world.records.Holds(TWO));
+	CrashRecordsFixture fixture;
+	fixture.records.rewrites_first = [](const CrashRecord &) { return false; };
+	fixture.RestoreStore({ONE, TWO});
+	fixture.RestoreStore({ONE});
+	fixture.Advance(milliseconds(500));
+	fixture.records.Watch().on_changes({{CrashKey(TWO), "", 9, false}}, fixture.now);
+	fixture.Advance(CrashRecordLimits{}.fallback_rewrite_delay);
+	CHECK(fixture.store.writes.empty());
+	CHECK(fixture.records.Holds(TWO));
 	// A row that is missing from a snapshot of the same epoch was removed.
-	world.records.Watch().on_snapshot({{CrashKey(ONE), "", 5, false}}, world.now);
-	CHECK(world.removed == std::vector<CrashRecord>{TWO});
+	fixture.records.Watch().on_snapshot({{CrashKey(ONE), "", 5, false}}, fixture.now);
+	CHECK(fixture.removed == std::vector<CrashRecord>{TWO});
 }
 
 TEST_CASE("Store restore - a write in flight during the restore is repeated")
 {
-	EndsWorld world;
-	world.Pass(milliseconds(25));
-	CHECK(world.records.Add(ONE));
-	world.Pass(milliseconds(25));
-	REQUIRE(world.store.writes.size() == 1);
-	world.ComeBack({});
-	CHECK(world.removed.empty());
-	world.Pass(milliseconds(25));
-	CHECK(world.store.writes.size() == 2);
-	CHECK(world.records.Waiting() == 1);
+	CrashRecordsFixture fixture;
+	fixture.Advance(milliseconds(25));
+	CHECK(fixture.records.Add(ONE));
+	fixture.Advance(milliseconds(25));
+	REQUIRE(fixture.store.writes.size() == 1);
+	fixture.RestoreStore({});
+	CHECK(fixture.removed.empty());
+	fixture.Advance(milliseconds(25));
+	CHECK(fixture.store.writes.size() == 2);
+	CHECK(fixture.records.Waiting() == 1);
 }
 
 TEST_CASE("Store restore - a removed crash record does not count again because the backup still has it")
 {
-	EndsWorld world;
-	world.Pass(milliseconds(25));
-	world.ComeBack({ONE, TWO});
-	world.records.Remove(ONE);
-	world.Pass(milliseconds(25));
-	REQUIRE(world.store.removals.size() == 1);
-	world.store.removals[0].done(StoreWriteResult::Done);
-	world.added.clear();
-	world.ComeBack({ONE, TWO});
-	CHECK(world.added.empty());
-	world.Pass(milliseconds(25));
-	REQUIRE(world.store.removals.size() == 2);
-	CHECK(ParseCrashKey(world.store.removals[1].key) == ONE);
+	CrashRecordsFixture fixture;
+	fixture.Advance(milliseconds(25));
+	fixture.RestoreStore({ONE, TWO});
+	fixture.records.Remove(ONE);
+	fixture.Advance(milliseconds(25));
+	REQUIRE(fixture.store.removals.size() == 1);
+	fixture.store.removals[0].done(StoreWriteResult::Done);
+	fixture.added.clear();
+	fixture.RestoreStore({ONE, TWO});
+	CHECK(fixture.added.empty());
+	fixture.Advance(milliseconds(25));
+	REQUIRE(fixture.store.removals.size() == 2);
+	CHECK(ParseCrashKey(fixture.store.removals[1].key) == ONE);
 }
 
 TEST_CASE("Store restore - instances rewrite their own missing rows, at different times")
--- a/src/tests/table_sharing_test.cpp
+++ b/src/tests/table_sharing_test.cpp
@@ -73,9 +73,9 @@
 			SharedWatch table(sharing, "table", now);
 			sharing.SetReaders({{hall + "-first", 100}, {hall + "-second", 10}}, halls, false);
 			CHECK(sharing.IsHallReader() == (std::string(place) == "first"));
-			TimePoint silent = now;
-			while (!table.watch.ReadsFromStore(silent)) silent += milliseconds(10);
-			takeover_delay[name] = silent - now;
+			TimePoint later = now;
+			while (!table.watch.ReadsFromStore(later)) later += milliseconds(10);
+			takeover_delay[name] = later - now;
 		}
 	}
 	CHECK(takeover_delay[order[0] + "-first"] == Duration(0));
--- a/src/tests/table_watch_test.cpp
+++ b/src/tests/table_watch_test.cpp
@@ -12,17 +12,17 @@
 namespace {
 
 /** A table watch that is started, with a store answered by the test. */
-struct WatchWorld {
-	WatchWorld()
+struct WatchFixture {
+	WatchFixture()
 	{
 		this->watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint) { this->all.push_back(rows.size()); };
 		this->watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint) { this->changes.push_back(rows.size()); };
-		this->watch.on_unavailable = [this](const RowsAnswer &, TimePoint) { this->lost++; };
-		this->watch.on_reconnected = [this](Duration, TimePoint) { this->regained++; };
+		this->watch.on_unavailable = [this](const RowsAnswer &, TimePoint) { this->outages++; };
+		this->watch.on_reconnected = [this](Duration, TimePoint) { this->recovered++; };
 		this->watch.Start(this->now);
 	}
 
-	void Pass(Duration time)
+	void Advance(Duration time)
 	{
 		this->now += time;
 		this->watch.OnTick(this->now);
@@ -33,153 +33,153 @@
 	TimePoint now = MonotonicNow();                                                      ///< Clock.
 	std::vector<size_t> all;                                                             ///< Number of rows of each snapshot.
 	std::vector<size_t> changes;                                                         ///< Number of rows of each set of changes.
-	int lost = 0;                                                                        ///< Outages reported.
-	int regained = 0;                                                                    ///< Recoveries reported.
+	int outages = 0;                                                                     ///< Outages reported.
+	int recovered = 0;                                                                   ///< Recoveries reported.
 };
 
 } // namespace
 
 TEST_CASE("Watch - a snapshot of several pages is complete, and changes are read from the version of its first page")
 {
-	WatchWorld world;
-	world.store.Answer(Page({"a", "b"}, 10, true));
-	CHECK(world.store.Newest().from > "b");
-	CHECK(world.all.empty());
-	world.store.Answer(Page({"c"}, 12));
-	CHECK(world.all == std::vector<size_t>{3});
-	CHECK(world.store.Newest().changes);
-	CHECK(world.store.Newest().version == 10);
+	WatchFixture fixture;
+	fixture.store.Answer(Page({"a", "b"}, 10, true));
+	CHECK(fixture.store.Newest().from > "b");
+	CHECK(fixture.all.empty());
+	fixture.store.Answer(Page({"c"}, 12));
+	CHECK(fixture.all == std::vector<size_t>{3});
+	CHECK(fixture.store.Newest().changes);
+	CHECK(fixture.store.Newest().version == 10);
 }
 
 TEST_CASE("Watch - a truncated change history leads to a snapshot, and does not count as an outage")
 {
-	WatchWorld world;
-	world.store.Answer(Page({"a"}, 10));
-	world.store.Answer(Failed(StoreFailure::HistoryUnavailable));
-	CHECK(!world.store.Newest().changes);
-	world.store.Answer(Page({"a", "b"}, 20));
-	CHECK(world.all == std::vector<size_t>{1, 2});
-	CHECK(world.lost == 0);
+	WatchFixture fixture;
+	fixture.store.Answer(Page({"a"}, 10));
+	fixture.store.Answer(Failed(StoreFailure::HistoryUnavailable));
+	CHECK(!fixture.store.Newest().changes);
+	fixture.store.Answer(Page({"a", "b"}, 20));
+	CHECK(fixture.all == std::vector<size_t>{1, 2});
+	CHECK(fixture.outages == 0);
 }
 
 TEST_CASE("Watch - a snapshot older than the local view is dropped")
 {
-	WatchWorld world;
-	world.store.Answer(Page({"a"}, 10));
-	world.store.Answer(Failed(StoreFailure::HistoryUnavailable));
-	world.store.Answer(Page({}, 9));
-	CHECK(world.all == std::vector<size_t>{1});
-	world.Pass(std::chrono::seconds(1));
-	world.store.Answer(Page({"a", "b"}, 11));
-	CHECK(world.all == std::vector<size_t>{1, 2});
+	WatchFixture fixture;
+	fixture.store.Answer(Page({"a"}, 10));
+	fixture.store.Answer(Failed(StoreFailure::HistoryUnavailable));
+	fixture.store.Answer(Page({}, 9));
+	CHECK(fixture.all == std::vector<size_t>{1});
+	fixture.Advance(std::chrono::seconds(1));
+	fixture.store.Answer(Page({"a", "b"}, 11));
+	CHECK(fixture.all == std::vector<size_t>{1, 2});
 }
 
 TEST_CASE("Watch - an instance that receives updates does not poll, and reads when updates stop or one was missed")
 {
-	WatchWorld world;
-	world.watch.SetTakeoverDelay(milliseconds(1300));
-	world.store.Answer(Page({"a"}, 10));
-	CHECK(world.store.calls.empty());
+	WatchFixture fixture;
+	fixture.watch.SetTakeoverDelay(milliseconds(1300));
+	fixture.store.Answer(Page({"a"}, 10));
+	CHECK(fixture.store.calls.empty());
 	TableUpdate update{"table", {0, 10}, {0, 12}, false, true, {{"b", "v", 12, false}}};
-	world.watch.OnUpdate(update, world.now);
-	CHECK(world.changes == std::vector<size_t>{1});
-	CHECK(world.watch.Version() == StoreVersion{0, 12});
-	CHECK(world.store.calls.empty());
+	fixture.watch.OnUpdate(update, fixture.now);
+	CHECK(fixture.changes == std::vector<size_t>{1});
+	CHECK(fixture.watch.Version() == StoreVersion{0, 12});
+	CHECK(fixture.store.calls.empty());
 	// An update was lost, so that the next one does not apply and the changes are read from the store.
-	world.watch.OnUpdate({"table", {0, 14}, {0, 15}, false, true, {{"d", "v", 15, false}}}, world.now);
-	CHECK(world.changes == std::vector<size_t>{1});
-	world.Pass(milliseconds(20));
-	REQUIRE(world.store.calls.size() == 1);
-	CHECK(world.store.Newest().version == 12);
-	world.store.Answer(Page({"c", "d"}, 15));
-	CHECK(world.watch.Version() == StoreVersion{0, 15});
-	CHECK(world.store.calls.empty());
-	world.Pass(milliseconds(1200));
-	CHECK(world.store.calls.empty());
-	world.Pass(milliseconds(200));
-	CHECK(world.store.calls.size() == 1);
+	fixture.watch.OnUpdate({"table", {0, 14}, {0, 15}, false, true, {{"d", "v", 15, false}}}, fixture.now);
+	CHECK(fixture.changes == std::vector<size_t>{1});
+	fixture.Advance(milliseconds(20));
+	REQUIRE(fixture.store.calls.size() == 1);
+	CHECK(fixture.store.Newest().version == 12);
+	fixture.store.Answer(Page({"c", "d"}, 15));
+	CHECK(fixture.watch.Version() == StoreVersion{0, 15});
+	CHECK(fixture.store.calls.empty());
+	fixture.Advance(milliseconds(1200));
+	CHECK(fixture.store.calls.empty());
+	fixture.Advance(milliseconds(200));
+	CHECK(fixture.store.calls.size() == 1);
 }
 
 TEST_CASE("Watch - writes to other tables, which advance the store's version too, cause no read")
 {
-	WatchWorld world;
-	world.watch.SetTakeoverDelay(milliseconds(1300));
-	world.store.Answer(Page({"a"}, 10));
+	WatchFixture fixture;
+	fixture.watch.SetTakeoverDelay(milliseconds(1300));
+	fixture.store.Answer(Page({"a"}, 10));
 	// A peer knows the same last change, while the version of the store advances.
 	for (int i = 0; i < 10; i++) {
-		world.watch.OnUpdate({"table", {0, 10}, {0, 10}, false, true, {}}, world.now);
-		world.Pass(milliseconds(300));
-		CHECK(world.store.calls.empty());
+		fixture.watch.OnUpdate({"table", {0, 10}, {0, 10}, false, true, {}}, fixture.now);
+		fixture.Advance(milliseconds(300));
+		CHECK(fixture.store.calls.empty());
 	}
 	// A newer version without rows, such as a deletion, is read once.
-	world.watch.OnUpdate({"table", {0, 14}, {0, 14}, false, true, {}}, world.now);
-	world.Pass(milliseconds(20));
-	REQUIRE(world.store.calls.size() == 1);
-	world.store.Answer(Page({}, 15));
+	fixture.watch.OnUpdate({"table", {0, 14}, {0, 14}, false, true, {}}, fixture.now);
+	fixture.Advance(milliseconds(20));
+	REQUIRE(fixture.store.calls.size() == 1);
+	fixture.store.Answer(Page({}, 15));
 	for (int i = 0; i < 5; i++) {
-		world.watch.OnUpdate({"table", {0, 14}, {0, 14}, false, true, {}}, world.now);
-		world.Pass(milliseconds(300));
-		CHECK(world.store.calls.empty());
+		fixture.watch.OnUpdate({"table", {0, 14}, {0, 14}, false, true, {}}, fixture.now);
+		fixture.Advance(milliseconds(300));
+		CHECK(fixture.store.calls.empty());
 	}
 }
 
 TEST_CASE("Watch - only reads that the store confirmed are published, and a peer takes over when there are none")
 {
-	WatchWorld world;
-	int told = 0;
-	world.watch.on_publish = [&](const TableUpdate &) { told++; };
-	world.store.Answer(Page({"a"}, 10));
-	world.store.Answer(Page({}, 11));
-	CHECK(told == 2);
+	WatchFixture fixture;
+	int published = 0;
+	fixture.watch.on_publish = [&](const TableUpdate &) { published++; };
+	fixture.store.Answer(Page({"a"}, 10));
+	fixture.store.Answer(Page({}, 11));
+	CHECK(published == 2);
 	// The next call is not answered: nothing is published meanwhile.
-	for (int i = 0; i < 30; i++) world.Pass(milliseconds(50));
-	CHECK(told == 2);
+	for (int i = 0; i < 30; i++) fixture.Advance(milliseconds(50));
+	CHECK(published == 2);
 	// An instance that reads only what it missed does not publish it.
-	WatchWorld other;
-	int told_by_other = 0;
-	other.watch.on_publish = [&](const TableUpdate &) { told_by_other++; };
+	WatchFixture other;
+	int published_by_other = 0;
+	other.watch.on_publish = [&](const TableUpdate &) { published_by_other++; };
 	other.watch.SetTakeoverDelay(milliseconds(800));
 	other.store.Answer(Page({"a"}, 10));
-	told_by_other = 0;
+	published_by_other = 0;
 	other.watch.OnUpdate({"table", {0, 12}, {0, 12}, false, true, {}}, other.now);
-	other.Pass(milliseconds(20));
+	other.Advance(milliseconds(20));
 	other.store.Answer(Page({"b"}, 12));
-	CHECK(told_by_other == 0);
+	CHECK(published_by_other == 0);
 	// After its takeover time it becomes the reader and publishes that.
-	other.Pass(milliseconds(820));
+	other.Advance(milliseconds(820));
 	REQUIRE(other.store.calls.size() == 1);
 	other.store.Answer(Page({}, 13));
-	CHECK(told_by_other == 1);
+	CHECK(published_by_other == 1);
 }
 
 TEST_CASE("Watch - a change is read at once, and further ones of a burst in one call")
 {
-	WatchWorld world;
-	world.store.Answer(Page({"a"}, 10));
-	world.store.Answer(Page({"b"}, 12));
-	CHECK(world.store.calls.empty());
-	world.Pass(milliseconds(100));
-	CHECK(world.store.calls.empty());
-	world.Pass(milliseconds(60));
-	REQUIRE(world.store.calls.size() == 1);
-	CHECK(world.store.Newest().version == 12);
+	WatchFixture fixture;
+	fixture.store.Answer(Page({"a"}, 10));
+	fixture.store.Answer(Page({"b"}, 12));
+	CHECK(fixture.store.calls.empty());
+	fixture.Advance(milliseconds(100));
+	CHECK(fixture.store.calls.empty());
+	fixture.Advance(milliseconds(60));
+	REQUIRE(fixture.store.calls.size() == 1);
+	CHECK(fixture.store.Newest().version == 12);
 	// After an answer without changes the next poll starts at once.
-	world.store.Answer(Page({}, 12));
-	CHECK(world.store.calls.size() == 1);
+	fixture.store.Answer(Page({}, 12));
+	CHECK(fixture.store.calls.size() == 1);
 }
 
 TEST_CASE("Watch - of two watches without the store one probes it, and the other reads as soon as it is available")
 {
-	WatchWorld first;
-	WatchWorld second;
+	WatchFixture first;
+	WatchFixture second;
 	second.watch.SetRecoveryProbe(first.watch);
 	auto pass = [&](Duration time) {
-		first.Pass(time);
-		second.Pass(time);
+		first.Advance(time);
+		second.Advance(time);
 	};
-	for (WatchWorld *world : {&first, &second}) {
-		world->store.Answer(Page({"a"}, 10));
-		world->store.Answer(Failed(StoreFailure::Refused));
+	for (WatchFixture *fixture : {&first, &second}) {
+		fixture->store.Answer(Page({"a"}, 10));
+		fixture->store.Answer(Failed(StoreFailure::Refused));
 	}
 	uint64_t asked = first.store.last;
 	for (int i = 0; i < 50; i++) {
@@ -199,69 +199,69 @@
 
 TEST_CASE("Watch - an instance cut off from the store backs off its reads, whatever its peers publish")
 {
-	WatchWorld world;
-	world.watch.SetTakeoverDelay(milliseconds(1300));
-	world.store.Answer(Page({"a"}, 10));
-	world.watch.OnUpdate({"table", {0, 20}, {0, 20}, false, true, {}}, world.now);
-	uint64_t before = world.store.last;
+	WatchFixture fixture;
+	fixture.watch.SetTakeoverDelay(milliseconds(1300));
+	fixture.store.Answer(Page({"a"}, 10));
+	fixture.watch.OnUpdate({"table", {0, 20}, {0, 20}, false, true, {}}, fixture.now);
+	uint64_t before = fixture.store.last;
 	for (int i = 0; i < 100; i++) {
-		world.Pass(milliseconds(50));
-		if (!world.store.calls.empty()) world.store.Answer(Failed(StoreFailure::Refused));
-		if (i % 5 == 0) world.watch.OnUpdate({"table", {0, 20}, {0, 20}, false, true, {}}, world.now);
+		fixture.Advance(milliseconds(50));
+		if (!fixture.store.calls.empty()) fixture.store.Answer(Failed(StoreFailure::Refused));
+		if (i % 5 == 0) fixture.watch.OnUpdate({"table", {0, 20}, {0, 20}, false, true, {}}, fixture.now);
 	}
-	CHECK(world.store.last - before <= 8);
-	CHECK(world.lost == 1);
-	CHECK(world.regained == 0);
-	while (world.store.calls.empty()) world.Pass(milliseconds(50));
-	world.store.Answer(Page({"b"}, 20));
-	CHECK(world.regained == 1);
-	CHECK(world.changes == std::vector<size_t>{1});
+	CHECK(fixture.store.last - before <= 8);
+	CHECK(fixture.outages == 1);
+	CHECK(fixture.recovered == 0);
+	while (fixture.store.calls.empty()) fixture.Advance(milliseconds(50));
+	fixture.store.Answer(Page({"b"}, 20));
+	CHECK(fixture.recovered == 1);
+	CHECK(fixture.changes == std::vector<size_t>{1});
 }
 
 TEST_CASE("Watch - the first update after an outage ends the backoff")
 {
-	WatchWorld world;
-	world.watch.SetTakeoverDelay(milliseconds(1300));
-	world.store.Answer(Page({"a"}, 10));
-	while (world.lost == 0 || !world.store.calls.empty()) {
-		world.Pass(milliseconds(50));
-		if (!world.store.calls.empty()) world.store.Answer(Failed(StoreFailure::Refused));
+	WatchFixture fixture;
+	fixture.watch.SetTakeoverDelay(milliseconds(1300));
+	fixture.store.Answer(Page({"a"}, 10));
+	while (fixture.outages == 0 || !fixture.store.calls.empty()) {
+		fixture.Advance(milliseconds(50));
+		if (!fixture.store.calls.empty()) fixture.store.Answer(Failed(StoreFailure::Refused));
 	}
 	// The backoff has grown to its maximum.
 	for (int i = 0; i < 100; i++) {
-		world.Pass(milliseconds(50));
-		if (!world.store.calls.empty()) world.store.Answer(Failed(StoreFailure::Refused));
+		fixture.Advance(milliseconds(50));
+		if (!fixture.store.calls.empty()) fixture.store.Answer(Failed(StoreFailure::Refused));
 	}
-	while (world.store.calls.empty()) world.Pass(milliseconds(10));
-	world.store.Answer(Failed(StoreFailure::Refused));
-	world.watch.OnUpdate({"table", {0, 20}, {0, 20}, false, true, {}}, world.now);
-	world.Pass(milliseconds(20));
-	REQUIRE(world.store.calls.size() == 1);
-	world.store.Answer(Page({"b"}, 20));
-	CHECK(world.changes == std::vector<size_t>{1});
+	while (fixture.store.calls.empty()) fixture.Advance(milliseconds(10));
+	fixture.store.Answer(Failed(StoreFailure::Refused));
+	fixture.watch.OnUpdate({"table", {0, 20}, {0, 20}, false, true, {}}, fixture.now);
+	fixture.Advance(milliseconds(20));
+	REQUIRE(fixture.store.calls.size() == 1);
+	fixture.store.Answer(Page({"b"}, 20));
+	CHECK(fixture.changes == std::vector<size_t>{1});
 }
 
 TEST_CASE("Watch - calls to a silent store time out and are retried with backoff, and its recovery is reported")
 {
-	WatchWorld world;
-	world.store.Answer(Page({"a"}, 10));
-	world.Pass(std::chrono::seconds(5));
-	CHECK(world.lost == 1);
-	CHECK(world.store.calls.empty());
-	uint64_t before = world.store.last;
+	WatchFixture fixture;
+	fixture.store.Answer(Page({"a"}, 10));
+	fixture.Advance(std::chrono::seconds(5));
+	CHECK(fixture.outages == 1);
+	CHECK(fixture.store.calls.empty());
+	uint64_t before = fixture.store.last;
 	for (int i = 0; i < 40; i++) {
-		world.Pass(milliseconds(100));
-		if (!world.store.calls.empty()) world.store.Answer(Failed(StoreFailure::Refused));
+		fixture.Advance(milliseconds(100));
+		if (!fixture.store.calls.empty()) fixture.store.Answer(Failed(StoreFailure::Refused));
 	}
-	CHECK(world.store.last - before <= 12);
-	CHECK(world.store.last - before >= 4);
-	CHECK(world.lost == 1);
-	world.Pass(std::chrono::seconds(1));
-	CHECK(world.store.Newest().version == 10);
-	world.store.Answer(Page({"b"}, 15));
-	CHECK(world.regained == 1);
-	CHECK(world.changes == std::vector<size_t>{1});
-	CHECK(!world.watch.IsUnavailable());
+	CHECK(fixture.store.last - before <= 12);
+	CHECK(fixture.store.last - before >= 4);
+	CHECK(fixture.outages == 1);
+	fixture.Advance(std::chrono::seconds(1));
+	CHECK(fixture.store.Newest().version == 10);
+	fixture.store.Answer(Page({"b"}, 15));
+	CHECK(fixture.recovered == 1);
+	CHECK(fixture.changes == std::vector<size_t>{1});
+	CHECK(!fixture.watch.IsUnavailable());
 }
 
 TEST_CASE("Watch - a table is not read before it is started")
@@ -278,100 +278,101 @@
 
 TEST_CASE("Watch - an instance that is not the reader reads once when it has to catch up")
 {
-	WatchWorld world;
-	world.watch.SetTakeoverDelay(std::chrono::seconds(3600));
-	world.store.Answer(Page({"a"}, 10));
-	CHECK(world.store.calls.empty());
-	world.watch.CatchUp();
-	world.Pass(std::chrono::milliseconds(25));
-	CHECK(world.store.Newest().version == 10);
-	world.store.Answer(Page({"b"}, 12));
-	world.Pass(std::chrono::milliseconds(25));
-	CHECK(world.store.calls.empty());
-	CHECK(world.changes == std::vector<size_t>{1});
+	WatchFixture fixture;
+	fixture.watch.SetTakeoverDelay(std::chrono::seconds(3600));
+	fixture.store.Answer(Page({"a"}, 10));
+	CHECK(fixture.store.calls.empty());
+	fixture.watch.CatchUp();
+	fixture.Advance(std::chrono::milliseconds(25));
+	CHECK(fixture.store.Newest().version == 10);
+	fixture.store.Answer(Page({"b"}, 12));
+	fixture.Advance(std::chrono::milliseconds(25));
+	CHECK(fixture.store.calls.empty());
+	CHECK(fixture.changes == std::vector<size_t>{1});
 }
 
 namespace {
 
 /** A leading table and one that is coupled to it. */
-struct LedWorld {
-	LedWorld()
+struct CoupledFixture {
+	CoupledFixture()
 	{
-		this->led.SetLeadTable(this->lead_table);
-		this->led.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint) { this->changes += rows.size(); };
-		this->led.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint) { this->all += rows.size(); };
+		this->coupled.SetLeadTable(this->lead_table);
+		this->coupled.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint) { this->changes += rows.size(); };
+		this->coupled.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint) { this->all += rows.size(); };
 		this->lead_table.Start(this->now);
 		this->lead_store.Answer(Page({"a"}, 10));
 	}
 
-	void Pass(Duration time)
+	void Advance(Duration time)
 	{
 		this->now += time;
 		this->lead_table.OnTick(this->now);
-		this->led.OnTick(this->now);
+		this->coupled.OnTick(this->now);
 	}
 
 	ManualStore lead_store;                                                                       ///< Store of the leading table.
-	ManualStore led_store;                                                                        ///< Store of the coupled table.
+	ManualStore coupled_store;                                                                    ///< Store of the coupled table.
 	TimePoint now = MonotonicNow();                                                               ///< Clock.
 	TableWatch lead_table{this->lead_store, "lead", WatchLimits{}, [this] { return this->now; }}; ///< Leading table.
-	TableWatch led{this->led_store, "led", WatchLimits{.wait = std::chrono::seconds(10)}, [this] { return this->now; }}; ///< Under test.
-	size_t changes = 0; ///< Number of changed rows.
-	size_t all = 0;     ///< Number of rows in snapshots.
+	TableWatch coupled{this->coupled_store, "led", WatchLimits{.wait = std::chrono::seconds(10)},
+	                   [this] { return this->now; }}; ///< Under test.
+	size_t changes = 0;                               ///< Number of changed rows.
+	size_t all = 0;                                   ///< Number of rows in snapshots.
 };
 
 } // namespace
 
 TEST_CASE("Watch - a coupled table is read only by the reader of its leading table")
 {
-	LedWorld world;
-	world.lead_table.SetTakeoverDelay(std::chrono::seconds(5));
-	world.lead_table.OnUpdate({"lead", {0, 10}, {0, 10}, false, true, {}}, world.now);
-	world.led.Start(world.now);
-	world.Pass(milliseconds(100));
-	CHECK(world.led_store.calls.empty());
+	CoupledFixture fixture;
+	fixture.lead_table.SetTakeoverDelay(std::chrono::seconds(5));
+	fixture.lead_table.OnUpdate({"lead", {0, 10}, {0, 10}, false, true, {}}, fixture.now);
+	fixture.coupled.Start(fixture.now);
+	fixture.Advance(milliseconds(100));
+	CHECK(fixture.coupled_store.calls.empty());
 	// An update that applies to the empty view is taken in; after one that does not, a snapshot is read.
-	world.led.OnUpdate({"led", {0, 0}, {0, 20}, false, true, {{"x", "v", 20, false}}}, world.now);
-	CHECK(world.changes == 1);
-	world.led.OnUpdate({"led", {0, 30}, {0, 30}, false, true, {}}, world.now);
-	world.Pass(milliseconds(100));
-	REQUIRE(world.led_store.calls.size() == 1);
-	CHECK_FALSE(world.led_store.Newest().changes);
-	world.led_store.Answer(Page({"x", "y"}, 31));
-	CHECK(world.all == 2);
-	world.Pass(milliseconds(100));
-	CHECK(world.led_store.calls.empty());
+	fixture.coupled.OnUpdate({"led", {0, 0}, {0, 20}, false, true, {{"x", "v", 20, false}}}, fixture.now);
+	CHECK(fixture.changes == 1);
+	fixture.coupled.OnUpdate({"led", {0, 30}, {0, 30}, false, true, {}}, fixture.now);
+	fixture.Advance(milliseconds(100));
+	REQUIRE(fixture.coupled_store.calls.size() == 1);
+	CHECK_FALSE(fixture.coupled_store.Newest().changes);
+	fixture.coupled_store.Answer(Page({"x", "y"}, 31));
+	CHECK(fixture.all == 2);
+	fixture.Advance(milliseconds(100));
+	CHECK(fixture.coupled_store.calls.empty());
 	// The updates stop: this instance becomes the reader of the leading table, and of this one.
-	world.Pass(std::chrono::seconds(6));
-	CHECK(world.led_store.calls.size() == 1);
+	fixture.Advance(std::chrono::seconds(6));
+	CHECK(fixture.coupled_store.calls.size() == 1);
 }
 
 TEST_CASE("Watch - a coupled table becomes unavailable and available again with its leading table")
 {
-	LedWorld world;
-	world.led.Start(world.now);
-	world.Pass(milliseconds(100));
-	world.led_store.Answer(Page({}, 10));
-	CHECK(world.led_store.calls.size() == 1);
-	CHECK(world.led.HeartbeatUpdate().has_value());
-	world.lead_store.Answer(Failed(StoreFailure::NoAnswer));
-	world.Pass(milliseconds(25));
-	CHECK(world.led_store.calls.empty());
-	CHECK(world.led.IsUnavailable());
-	CHECK_FALSE(world.led.HeartbeatUpdate().has_value());
-	world.Pass(milliseconds(500));
-	CHECK(world.led_store.calls.empty());
-	world.lead_store.Answer(Page({}, 11));
-	world.Pass(milliseconds(25));
-	REQUIRE(world.led_store.calls.size() == 1);
-	world.led_store.Answer(Page({}, 11));
-	CHECK_FALSE(world.led.IsUnavailable());
+	CoupledFixture fixture;
+	fixture.coupled.Start(fixture.now);
+	fixture.Advance(milliseconds(100));
+	fixture.coupled_store.Answer(Page({}, 10));
+	CHECK(fixture.coupled_store.calls.size() == 1);
+	CHECK(fixture.coupled.HeartbeatUpdate().has_value());
+	fixture.lead_store.Answer(Failed(StoreFailure::NoAnswer));
+	fixture.Advance(milliseconds(25));
+	CHECK(fixture.coupled_store.calls.empty());
+	CHECK(fixture.coupled.IsUnavailable());
+	CHECK_FALSE(fixture.coupled.HeartbeatUpdate().has_value());
+	fixture.Advance(milliseconds(500));
+	CHECK(fixture.coupled_store.calls.empty());
+	fixture.lead_store.Answer(Page({}, 11));
+	fixture.Advance(milliseconds(25));
+	REQUIRE(fixture.coupled_store.calls.size() == 1);
+	fixture.coupled_store.Answer(Page({}, 11));
+	CHECK_FALSE(fixture.coupled.IsUnavailable());
 }
 
 TEST_CASE("Watch - an instance that starts gets a snapshot from a peer, and reads it from the store only if none arrives in time")
 {
 	TimePoint now = MonotonicNow();
-	for (bool told : {true, false}) {
+	for (bool published : {true, false}) {
 		ManualStore store;
 		WatchLimits limits;
 		limits.keep_rows = true;
@@ -388,11 +389,11 @@
 		// Changes don't apply before the first snapshot.
 		watch.OnUpdate({"table", {0, 6}, {0, 7}, false, true, {{"x", "v", 7, false}}, {0, 7}}, now);
 		CHECK_FALSE(watch.IsKnown());
-		if (told) watch.OnUpdate({"table", {}, {0, 9}, true, true, {{"a", "v", 5, false}, {"b", "v", 9, false}}, {0, 40}}, now);
-		CHECK(watch.IsKnown() == told);
+		if (published) watch.OnUpdate({"table", {}, {0, 9}, true, true, {{"a", "v", 5, false}, {"b", "v", 9, false}}, {0, 40}}, now);
+		CHECK(watch.IsKnown() == published);
 		watch.OnTick(now + milliseconds(600));
-		CHECK(store.calls.size() == (told ? 0 : 1));
-		if (!told) store.Answer(Page({"a", "b"}, 9));
+		CHECK(store.calls.size() == (published ? 0 : 1));
+		if (!published) store.Answer(Page({"a", "b"}, 9));
 		CHECK(rows == std::vector<std::string>{"a", "b"});
 		CHECK_FALSE(watch.NeedsSnapshot());
 		// Now it can serve a snapshot itself, which includes later changes.
@@ -415,20 +416,20 @@
 	reader.filter_rows = [](std::vector<StoredRow> &rows, bool) {
 		std::erase_if(rows, [](const StoredRow &row) { return row.key != "own"; });
 	};
-	std::vector<TableUpdate> told;
-	reader.on_publish = [&](const TableUpdate &update) { told.push_back(update); };
+	std::vector<TableUpdate> published;
+	reader.on_publish = [&](const TableUpdate &update) { published.push_back(update); };
 	reader.Start(now);
 	store.Answer(Page({"other", "own"}, 5));
-	REQUIRE(told.size() == 1);
-	CHECK(told[0].rows.size() == 1);
+	REQUIRE(published.size() == 1);
+	CHECK(published[0].rows.size() == 1);
 	store.Answer(Page({"other"}, 7));
-	REQUIRE(told.size() == 2);
-	CHECK(told[1].rows.empty());
+	REQUIRE(published.size() == 2);
+	CHECK(published[1].rows.empty());
 	ManualStore other_store;
 	TableWatch member(other_store, "table", WatchLimits{}, [&] { return now; });
 	member.SetTakeoverDelay(WatchLimits{}.takeover_delay);
 	member.StartFromPeers(now + std::chrono::hours(1));
-	for (const TableUpdate &update : told) member.OnUpdate(update, now);
+	for (const TableUpdate &update : published) member.OnUpdate(update, now);
 	CHECK(member.RowsVersion() == reader.RowsVersion());
 	member.OnTick(now);
 	CHECK(other_store.calls.empty());
