--- a/src/net/http_front.h
+++ b/src/net/http_front.h
@@ -1,7 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_front.h HTTP/1.1 server that keeps reading while a request is processed, so that it detects a disconnect of the caller at
- * once. */
+/** @file http_front.h HTTP/1.1 server that keeps reading while a request is processed, to detect disconnects at once. */
 
 #pragma once
 
--- a/src/net/http_upstream.cpp
+++ b/src/net/http_upstream.cpp
@@ -121,7 +121,7 @@
 		return this->Close();
 	}
 	if (this->reader.Add(bytes)) return;
-	this->EndCall(UpstreamEnd::Broken, "bytes that form no answer");
+	this->EndCall(UpstreamEnd::Broken, "malformed answer");
 }
 
 void UpstreamConnection::OnComplete()
@@ -129,7 +129,7 @@
 	if (this->number == 0) return;
 	if (this->answer_matches) return this->EndCall(UpstreamEnd::Complete, "");
 	// It was an interim answer, or one to an earlier request; the answer to this call is still to come.
-	if (!this->reader.Resume()) this->EndCall(UpstreamEnd::Broken, "bytes that form no answer");
+	if (!this->reader.Resume()) this->EndCall(UpstreamEnd::Broken, "malformed answer");
 }
 
 /** @return Outcome of a call whose connection ended with \a end before the answer was complete. */
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -24,8 +24,8 @@
 	unsigned int port = 0;
 	std::string_view digits = colon == std::string_view::npos ? std::string_view() : text.substr(colon + 1);
 	auto parsed = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-	bool whole = !digits.empty() && parsed.ec == std::errc() && parsed.ptr == digits.data() + digits.size();
-	if (!whole || colon == 0 || port > UINT16_MAX) return Error{Step::Settings, std::string(text), "an address has the form IP:PORT"};
+	bool valid = !digits.empty() && parsed.ec == std::errc() && parsed.ptr == digits.data() + digits.size();
+	if (!valid || colon == 0 || port > UINT16_MAX) return Error{Step::Settings, std::string(text), "an address has the form IP:PORT"};
 	return Endpoint{std::string(text.substr(0, colon)), static_cast<uint16_t>(port)};
 }
 
--- a/src/platform/wire_configuration.cpp
+++ b/src/platform/wire_configuration.cpp
@@ -94,9 +94,9 @@
 {
 	Json root = Json::parse(text, nullptr, false);
 	if (!root.is_object()) return Error{Step::Configuration, "store", "the configuration is not a JSON object"};
-	bool whole = UintField(root, "version") > 0 && root.contains("routes") && root["routes"].is_array() && root.contains("services") &&
-	             root["services"].is_array();
-	if (!whole) return Error{Step::Configuration, "store", "the configuration lacks its version, routes or services"};
+	bool complete = UintField(root, "version") > 0 && root.contains("routes") && root["routes"].is_array() && root.contains("services") &&
+	                root["services"].is_array();
+	if (!complete) return Error{Step::Configuration, "store", "the configuration lacks its version, routes or services"};
 	ServingConfiguration configuration;
 	configuration.version = UintField(root, "version");
 	for (const Json &route : ArrayField(root, "routes")) configuration.routes.push_back(DecodeRoute(route));
--- a/src/store/table_sharing.cpp
+++ b/src/store/table_sharing.cpp
@@ -49,8 +49,8 @@
 
 bool TableSharing::ShouldForward(const std::string &sender_hall, bool forwarded) const
 {
-	bool stays_in_halls = !this->tables.empty() && !this->tables.front().halls.empty();
-	return stays_in_halls && !forwarded && sender_hall != this->hall;
+	bool published_per_hall = !this->tables.empty() && !this->tables.front().halls.empty();
+	return published_per_hall && !forwarded && sender_hall != this->hall;
 }
 
 void TableSharing::OnUpdate(const std::string &sender, const std::string &sender_hall, TableUpdate update, TimePoint now)
@@ -59,9 +59,9 @@
 		if (shared.watch->Table() != update.table) continue;
 		// An active reader yields only to updates from an instance before it in the order; otherwise concurrent readers would stop each
 		// other. This is decided per table, as each table has its own order.
-		bool after = this->PositionOf(shared, sender, sender_hall) > this->PositionOf(shared, this->name, this->hall);
-		bool reads = shared.watch->ReadsFromStore(now) && !shared.watch->IsUnavailable();
-		update.healthy = update.healthy && !(after && reads);
+		bool sender_follows = this->PositionOf(shared, sender, sender_hall) > this->PositionOf(shared, this->name, this->hall);
+		bool is_reader = shared.watch->ReadsFromStore(now) && !shared.watch->IsUnavailable();
+		update.healthy = update.healthy && !(sender_follows && is_reader);
 		return shared.watch->OnUpdate(update, now);
 	}
 }
--- a/src/store/table_watch.h
+++ b/src/store/table_watch.h
@@ -1,7 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_watch.h Keeps a local view of one table of the store: a snapshot first, then changes, across outages and restores of the
- * store. */
+/** @file table_watch.h Keeps a local view of one table of the store, across outages and restores of the store. */
 
 #pragma once
 
@@ -29,7 +28,7 @@
 
 /** Why a table watch calls the store. */
 enum class ReadReason : uint8_t {
-	Snapshot, ///< Snapshot: at the start, or because the change history is not available.
+	Snapshot, ///< Read of a snapshot, at the start or because the change history is not available.
 	Follow,   ///< Regular poll of the instance that reads for its peers.
 	TakeOver, ///< First poll after the reader's updates stopped.
 	Behind,   ///< A peer advertised a version without sending the changes.
@@ -130,7 +129,7 @@
 	/** @return Whether this instance reads the table from the store at present, for any reason. */
 	bool ReadsFromStore(TimePoint now) const;
 
-	/** @return Whether the local view has had a snapshot. */
+	/** @return Whether there is a local view of the table. */
 	bool IsKnown() const { return this->known; }
 
 	/** @return Whether the store is unavailable: the last call failed. */
@@ -208,11 +207,11 @@
 	TimePoint peer_update_at;           ///< When a peer that can reach the store last sent an update.
 	const TableWatch *prober = nullptr; ///< Watch that probes an unavailable store on behalf of this one; null for none.
 	const TableWatch *lead_table = nullptr;     ///< Table to which this one is coupled, see SetLeadTable(); null for none.
-	bool awaits_probe = false;                  ///< Probing is left to the other watch at present.
+	bool awaits_probe = false;                  ///< Probing is left to prober at present.
 	bool behind = false;                        ///< A peer advertised changes that have to be read from the store.
 	bool catch_up = false;                      ///< A read by CatchUp() is due.
-	bool started = false;                       ///< Started.
-	bool known = false;                         ///< The local view has had a snapshot.
+	bool started = false;                       ///< A start function was called.
+	bool known = false;                         ///< The local view is based on a snapshot, or is that of a coupled table.
 	bool following = false;                     ///< The next read is one of changes; otherwise a snapshot is read.
 	bool needs_snapshot = true;                 ///< A snapshot is needed, from the first peer that sends one.
 	TimePoint snapshot_due;                     ///< When it is read from the store otherwise.
--- a/src/tests/net_test.cpp
+++ b/src/tests/net_test.cpp
@@ -248,11 +248,11 @@
 		CAPTURE(reset);
 		LoopFixture fixture;
 		std::shared_ptr<FrontExchange> received;
-		bool gone = false;
+		bool disconnected = false;
 		{
 			HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &exchange) {
 				received = exchange;
-				exchange->on_disconnect = [&] { gone = true; };
+				exchange->on_disconnect = [&] { disconnected = true; };
 			});
 			uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 			PlainSocket caller(PlainSocket::Connect(port));
@@ -260,11 +260,11 @@
 			fixture.Run(20);
 			REQUIRE(received);
 			CHECK(received->body == "hi");
-			CHECK(!gone);
+			CHECK(!disconnected);
 			if (reset) caller.Reset();
 			if (!reset) caller.Close();
 			fixture.Run(20);
-			CHECK(gone);
+			CHECK(disconnected);
 			CHECK(received->IsOver());
 		}
 	}
--- a/src/tests/sharing_property_test.cpp
+++ b/src/tests/sharing_property_test.cpp
@@ -1,7 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file sharing_property_test.cpp Guards against changes of a table that arrive late after failures, and against hundreds of instances
- * calling the store. */
+/** @file sharing_property_test.cpp Guards against late changes after failures, and against hundreds of instances calling the store. */
 
 #include "tests/sharing_simulation.h"
 #include <doctest/doctest.h>
--- a/src/tests/sharing_simulation.cpp
+++ b/src/tests/sharing_simulation.cpp
@@ -16,25 +16,25 @@
 
 /** A simulated instance. */
 struct SharingSimulation::Instance {
-	size_t number = 0;                        ///< Number.
-	std::string name;                         ///< Name, which is its address too.
-	size_t hall = 0;                          ///< Data hall.
-	uint64_t incarnation = 0;                 ///< Incarnation: counts starts and crashes.
-	bool alive = false;                       ///< It is running.
-	bool store_reachable = true;              ///< The store answers its calls.
-	TimePoint reachable_since;                ///< When it was last started, or its connection to the store restored.
-	TimePoint started;                        ///< When it started.
-	TimePoint readers_at;                     ///< When it last updated the reader order.
-	TimePoint heartbeat_at;                   ///< When it last sent a heartbeat.
-	std::map<std::string, TimePoint> heard;   ///< Time of the last heartbeat by peer.
-	std::map<std::string, LinkState> links;   ///< State of its outgoing links by peer.
-	std::set<std::string> forwarders;         ///< Peers in other halls to which it sends table updates only.
-	std::unique_ptr<TableStore> store;        ///< Its client of the store.
-	std::unique_ptr<TableWatch> watch;        ///< Its view of the table.
-	uint64_t content = 0;                     ///< Newest content that it has received.
-	StoreVersion read;                        ///< Version of the row that it received last.
-	std::unique_ptr<TableSharing> sharing;    ///< Under test.
-	std::unique_ptr<PeerDirectory> directory; ///< Other instances.
+	size_t number = 0;                           ///< Number.
+	std::string name;                            ///< Name, which is its address too.
+	size_t hall = 0;                             ///< Data hall.
+	uint64_t incarnation = 0;                    ///< Incarnation: counts starts and crashes.
+	bool alive = false;                          ///< It is running.
+	bool store_reachable = true;                 ///< The store answers its calls.
+	TimePoint reachable_since;                   ///< When it was last started, or its connection to the store restored.
+	TimePoint started;                           ///< When it started.
+	TimePoint readers_at;                        ///< When it last updated the reader order.
+	TimePoint heartbeat_at;                      ///< When it last sent a heartbeat.
+	std::map<std::string, TimePoint> last_heard; ///< Time of the last heartbeat by peer.
+	std::map<std::string, LinkState> links;      ///< State of its outgoing links by peer.
+	std::set<std::string> forwarders;            ///< Peers in other halls to which it sends table updates only.
+	std::unique_ptr<TableStore> store;           ///< Its client of the store.
+	std::unique_ptr<TableWatch> watch;           ///< Its view of the table.
+	uint64_t content = 0;                        ///< Newest content that it has received.
+	StoreVersion read;                           ///< Version of the row that it received last.
+	std::unique_ptr<TableSharing> sharing;       ///< Under test.
+	std::unique_ptr<PeerDirectory> directory;    ///< Other instances.
 };
 
 /** An instance's client of the simulated store. */
@@ -135,7 +135,7 @@
 	instance.alive = true;
 	instance.started = instance.reachable_since = this->now;
 	instance.readers_at = instance.heartbeat_at = TimePoint{};
-	instance.heard.clear();
+	instance.last_heard.clear();
 	instance.store = std::make_unique<StoreClient>(*this, instance);
 	instance.watch = std::make_unique<TableWatch>(*instance.store, "table", this->limits.watch, [this] { return this->now; });
 	instance.sharing = std::make_unique<TableSharing>(instance.name, hall);
@@ -149,8 +149,8 @@
 	instance.read = StoreVersion{};
 	instance.watch->on_snapshot = [this, &instance](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(instance, rows, true); };
 	instance.watch->on_changes = [this, &instance](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(instance, rows, false); };
-	instance.watch->on_publish = [this, &instance](const TableUpdate &news) {
-		this->Send(instance, {instance.name, "hall-" + std::to_string(instance.hall), false, {news}}, {});
+	instance.watch->on_publish = [this, &instance](const TableUpdate &update) {
+		this->Send(instance, {instance.name, "hall-" + std::to_string(instance.hall), false, {update}}, {});
 	};
 	instance.watch->Start(this->now);
 	// Spread the ticks of different instances.
@@ -168,7 +168,7 @@
 
 bool SharingSimulation::CanReachStore(const Instance &instance) const
 {
-	return !this->store_unavailable && instance.alive && instance.store_reachable && !this->cut_from_store.contains(instance.hall);
+	return !this->store_unavailable && instance.alive && instance.store_reachable && !this->halls_without_store.contains(instance.hall);
 }
 
 void SharingSimulation::OnRows(Instance &instance, const std::vector<StoredRow> &rows, bool all)
@@ -238,7 +238,7 @@
 		Duration delay = *late * static_cast<int>(++number) / static_cast<int>(this->waiting_calls.size());
 		this->Schedule(delay, [this, call = call, answer = this->Changes(since)] { this->Answer(call, answer); });
 	}
-	this->state = this->copy;
+	this->state = this->backup;
 	this->epoch++;
 	this->store_unavailable = false;
 	for (auto &instance : this->instances) instance->reachable_since = this->now;
@@ -274,7 +274,7 @@
 
 void SharingSimulation::Receive(Instance &instance, const TablesMessage &message)
 {
-	for (const TableUpdate &news : message.tables) instance.sharing->OnUpdate(message.instance, message.hall, news, this->now);
+	for (const TableUpdate &update : message.tables) instance.sharing->OnUpdate(message.instance, message.hall, update, this->now);
 	if (!instance.sharing->ShouldForward(message.hall, message.forwarded)) return;
 	TablesMessage forwarded = message;
 	forwarded.forwarded = true;
@@ -285,20 +285,20 @@
 {
 	const ExchangeLimits &times = this->limits.exchange;
 	instance.sharing->OnTick(this->now);
-	Duration period = std::max<Duration>(times.heartbeat, times.heartbeat_per_peer * static_cast<int>(instance.heard.size()));
-	std::erase_if(instance.heard, [&](const auto &peer) { return this->now - peer.second > period * times.missed_heartbeats; });
+	Duration period = std::max<Duration>(times.heartbeat, times.heartbeat_per_peer * static_cast<int>(instance.last_heard.size()));
+	std::erase_if(instance.last_heard, [&](const auto &peer) { return this->now - peer.second > period * times.missed_heartbeats; });
 	if (this->now - instance.heartbeat_at >= period) {
 		instance.heartbeat_at = this->now;
 		for (const auto &[to, state] : instance.links) {
 			Instance &other = this->Find(to);
 			bool peer = state == LinkState::Open && !instance.forwarders.contains(to) && this->IsLinked(instance, other);
-			if (peer) other.heard[instance.name] = this->now;
+			if (peer) other.last_heard[instance.name] = this->now;
 		}
 	}
 	if (this->now - instance.readers_at >= times.readers_refresh_interval) {
 		instance.readers_at = this->now;
 		std::vector<Reader> readers{{instance.name, this->LinkMbps(instance.number)}};
-		for (const auto &[peer, at] : instance.heard) readers.push_back({peer, instance.directory->Find(peer)->link_mbps});
+		for (const auto &[peer, at] : instance.last_heard) readers.push_back({peer, instance.directory->Find(peer)->link_mbps});
 		bool starting_up = this->now - instance.started < times.settle_time;
 		instance.sharing->SetReaders(readers, instance.directory->IsHallOnly() ? instance.directory->Halls() : std::vector<std::string>{},
 		                             starting_up);
@@ -324,13 +324,13 @@
 void SharingSimulation::Partition(size_t hall, bool from_store)
 {
 	this->partitioned_halls.insert(hall);
-	if (from_store) this->cut_from_store.insert(hall);
+	if (from_store) this->halls_without_store.insert(hall);
 }
 
 void SharingSimulation::HealPartition(size_t hall)
 {
 	this->partitioned_halls.erase(hall);
-	if (this->cut_from_store.erase(hall) == 0) return;
+	if (this->halls_without_store.erase(hall) == 0) return;
 	for (auto &instance : this->instances) {
 		if (instance->hall == hall) instance->reachable_since = this->now;
 	}
--- a/src/tests/sharing_simulation.h
+++ b/src/tests/sharing_simulation.h
@@ -35,7 +35,7 @@
 	void WriteElsewhere(uint64_t times) { this->state.version += times; }
 
 	/** Take a backup of the store. */
-	void TakeBackup() { this->copy = this->state; }
+	void TakeBackup() { this->backup = this->state; }
 
 	/** Make the store unavailable to all instances. */
 	void StopStore() { this->store_unavailable = true; }
@@ -122,7 +122,7 @@
 	std::vector<std::unique_ptr<Instance>> instances;    ///< Instances, ordered by data hall.
 	std::map<std::string, Instance *> by_address;        ///< Instances by address.
 	std::set<size_t> partitioned_halls;                  ///< Data halls partitioned from the others.
-	std::set<size_t> cut_from_store;                     ///< Data halls partitioned from the store.
+	std::set<size_t> halls_without_store;                ///< Data halls partitioned from the store.
 	std::set<Event> events;                              ///< Scheduled events.
 	std::map<uint64_t, TableStore::RowsDone> open_calls; ///< Unanswered calls by call number.
 	std::map<uint64_t, uint64_t>
@@ -136,7 +136,7 @@
 	};
 
 	State state;                                         ///< Current state.
-	State copy;                                          ///< State in the backup.
+	State backup;                                        ///< State in the backup.
 	uint64_t epoch = 1;                                  ///< Store epoch.
 	uint64_t newest = 1;                                 ///< Content that was written last, even if a restore lost it.
 	uint64_t reverts = 0;                                ///< Number of times that an instance took in changes older than its state.
--- a/src/tests/store_epoch_test.cpp
+++ b/src/tests/store_epoch_test.cpp
@@ -1,7 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file store_epoch_test.cpp Guards against stale or mixed views after a restore of the store, which issues its version numbers a second
- * time. */
+/** @file store_epoch_test.cpp Guards against stale or mixed views after a restore of the store, which issues version numbers again. */
 
 #include "tests/manual_store.h"
 #include <doctest/doctest.h>
--- a/src/tests/store_restore_test.cpp
+++ b/src/tests/store_restore_test.cpp
@@ -153,9 +153,9 @@
 	std::vector<CrashRecord> removed; ///< Reported as removed.
 	TimePoint now = MonotonicNow();   ///< Clock.
 	CrashRecordStore records{this->store, WatchLimits{}, CrashRecordLimits{}, "g1",
-	                         [this](const std::vector<CrashRecord> &more, const std::vector<CrashRecord> &gone, TimePoint) {
+	                         [this](const std::vector<CrashRecord> &more, const std::vector<CrashRecord> &fewer, TimePoint) {
 		                         this->added.insert(this->added.end(), more.begin(), more.end());
-		                         this->removed.insert(this->removed.end(), gone.begin(), gone.end());
+		                         this->removed.insert(this->removed.end(), fewer.begin(), fewer.end());
 	                         }}; ///< Under test.
 };
 
--- a/src/tests/table_watch_test.cpp
+++ b/src/tests/table_watch_test.cpp
@@ -1,7 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_watch_test.cpp Guards against stale views, needless calls and late recovery of a table watch when the store or peers fail.
- */
+/** @file table_watch_test.cpp Guards against stale views, needless calls and late recovery when the store or peers fail. */
 
 #include "tests/manual_store.h"
 #include <doctest/doctest.h>
@@ -181,13 +180,13 @@
 		fixture->store.Answer(Page({"a"}, 10));
 		fixture->store.Answer(Failed(StoreFailure::Refused));
 	}
-	uint64_t asked = first.store.last;
+	uint64_t calls_before = first.store.last;
 	for (int i = 0; i < 50; i++) {
 		pass(milliseconds(100));
 		if (!first.store.calls.empty()) first.store.Answer(Failed(StoreFailure::Refused));
 		CHECK(second.store.calls.empty());
 	}
-	CHECK(first.store.last > asked);
+	CHECK(first.store.last > calls_before);
 	while (first.store.calls.empty()) pass(milliseconds(100));
 	first.store.Answer(Page({}, 11));
 	pass(milliseconds(20));
