--- a/src/net/http_upstream.cpp
+++ b/src/net/http_upstream.cpp
@@ -1,39 +1,39 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_upstream.cpp HTTP/1.1 calls over kept connections. */
+/** @file http_upstream.cpp HTTP/1.1 client with a connection pool. */
 
 #include "net/http_upstream.h"
 #include <charconv>
 
 namespace cottonspool {
 
-static constexpr size_t MAX_IDLE_PER_PEER = 16; ///< Connections kept to one peer.
-static constexpr Duration DEFAULT_IDLE_TIMEOUT =
-        std::chrono::seconds(5);                                        ///< Rest after which a connection is closed if the peer names none.
-static constexpr Duration IDLE_MARGIN = std::chrono::milliseconds(800); ///< Time before the peer's own limit at which we close.
+static constexpr size_t MAX_IDLE_PER_PEER = 16;                           ///< Limit on idle connections per peer.
+static constexpr Duration DEFAULT_IDLE_TIMEOUT = std::chrono::seconds(5); ///< Idle timeout if the peer does not announce one.
+static constexpr Duration IDLE_MARGIN =
+        std::chrono::milliseconds(800); ///< Time by which a connection is closed before the peer's announced timeout.
 
-/** One connection to a peer, with at most one call. */
+/** A connection to a peer, with at most one call at a time. */
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
 public:
 	UpstreamConnection(HttpUpstream &owner, std::shared_ptr<TcpStream> stream, std::string peer, const Endpoint &to);
 
-	/** Set the functions of the connection. */
+	/** Install the callbacks of the connection. */
 	void Begin();
 
-	/** Send \a call. */
+	/** Send a call over the idle connection. */
 	void Send(uint64_t number, UpstreamCall call);
 
-	/** Close it without a word. */
+	/** Close the connection and remove it from the pool. */
 	void Close();
 
-	UpstreamCall call;                            ///< Call under way.
-	uint64_t number = 0;                          ///< Its number; 0 while the connection rests.
-	std::shared_ptr<TcpStream> stream;            ///< Connection.
-	std::string peer;                             ///< Name of the other process.
-	Endpoint to;                                  ///< Its address.
+	UpstreamCall call;                            ///< Current call.
+	uint64_t number = 0;                          ///< Number of the current call; 0 while the connection is idle.
+	std::shared_ptr<TcpStream> stream;            ///< TCP connection.
+	std::string peer;                             ///< Name of the server process.
+	Endpoint to;                                  ///< Address of the server.
 	TimePoint started;                            ///< When the call was sent.
-	TimePoint idle_since;                         ///< Since when it rests.
-	Duration idle_timeout = DEFAULT_IDLE_TIMEOUT; ///< How long it may rest.
+	TimePoint idle_since;                         ///< When the connection became idle.
+	Duration idle_timeout = DEFAULT_IDLE_TIMEOUT; ///< Idle time after which it is closed.
 
 private:
 	void OnData(std::string_view bytes);
@@ -43,11 +43,11 @@
 	void EndCall(UpstreamEnd end, const char *cause);
 	void ReturnToPool();
 
-	HttpUpstream &owner;                          ///< Owner.
-	HttpReader reader{HttpReader::Kind::Answers}; ///< Reads answers.
-	bool answer_matches = false;                  ///< The answer being read is this call's.
-	bool reusable = false;                        ///< The connection may be kept.
-	bool stray_answer_seen = false;               ///< An answer of an earlier request came in.
+	HttpUpstream &owner;                          ///< Client with the pool.
+	HttpReader reader{HttpReader::Kind::Answers}; ///< Parser of the answers.
+	bool answer_matches = false;                  ///< The answer being received belongs to the current call.
+	bool reusable = false;                        ///< The server allows reuse after this answer.
+	bool stray_answer_seen = false;               ///< An answer to an earlier request was received: the connection must not be reused.
 };
 
 UpstreamConnection::UpstreamConnection(HttpUpstream &owner, std::shared_ptr<TcpStream> stream, std::string peer, const Endpoint &to)
@@ -116,23 +116,23 @@
 {
 	auto keep_alive = this->shared_from_this();
 	if (this->number == 0) {
-		// Bytes on a connection at rest belong to no request.
+		// Bytes on an idle connection belong to no request.
 		this->owner.counters.stray_answers++;
 		return this->Close();
 	}
 	if (this->reader.Add(bytes)) return;
-	this->EndCall(UpstreamEnd::Broken, "bytes that form no answer");
+	this->EndCall(UpstreamEnd::Broken, "malformed answer");
 }
 
 void UpstreamConnection::OnComplete()
 {
 	if (this->number == 0) return;
 	if (this->answer_matches) return this->EndCall(UpstreamEnd::Complete, "");
-	// An interim answer, or one of an earlier request: ours is still to come.
-	if (!this->reader.Resume()) this->EndCall(UpstreamEnd::Broken, "bytes that form no answer");
+	// It was an interim answer, or one to an earlier request; the answer to this call is still to come.
+	if (!this->reader.Resume()) this->EndCall(UpstreamEnd::Broken, "malformed answer");
 }
 
-/** @return How a call ended whose connection ended with \a end before its answer was whole. */
+/** @return Outcome of a call whose connection ended with \a end before the answer was complete. */
 static UpstreamEnd ToUpstreamEnd(TcpEnd end)
 {
 	if (end == TcpEnd::Refused) return UpstreamEnd::Refused;
@@ -194,28 +194,29 @@
 {
 	auto found = this->idle.find(call.peer);
 	if (found == this->idle.end() || call.max_reuse_idle == Duration(0)) return nullptr;
-	// The one that rested least is the least likely to be closed by the other side just now.
-	std::shared_ptr<UpstreamConnection> link = found->second.back();
-	Duration idle_time = now - link->idle_since;
-	if (link->to != call.to || idle_time > call.max_reuse_idle || idle_time > link->idle_timeout || link->stream->IsClosed())
+	// The most recently used connection is the least likely to be closed by the server just now.
+	std::shared_ptr<UpstreamConnection> connection = found->second.back();
+	Duration idle_time = now - connection->idle_since;
+	if (connection->to != call.to || idle_time > call.max_reuse_idle || idle_time > connection->idle_timeout ||
+	    connection->stream->IsClosed())
 		return nullptr;
 	found->second.pop_back();
 	if (found->second.empty()) this->idle.erase(found);
-	return link;
+	return connection;
 }
 
 uint64_t HttpUpstream::Start(UpstreamCall call)
 {
 	uint64_t number = this->next++;
 	this->counters.calls++;
-	std::shared_ptr<UpstreamConnection> link = this->AcquireIdle(call, MonotonicNow());
-	if (!link) {
+	std::shared_ptr<UpstreamConnection> connection = this->AcquireIdle(call, MonotonicNow());
+	if (!connection) {
 		this->counters.connects++;
-		link = std::make_shared<UpstreamConnection>(*this, TcpStream::Connect(this->loop, call.to), call.peer, call.to);
-		link->Begin();
+		connection = std::make_shared<UpstreamConnection>(*this, TcpStream::Connect(this->loop, call.to), call.peer, call.to);
+		connection->Begin();
 	}
-	this->active.emplace(number, link);
-	link->Send(number, std::move(call));
+	this->active.emplace(number, connection);
+	connection->Send(number, std::move(call));
 	return number;
 }
 
@@ -223,11 +224,11 @@
 {
 	auto found = this->active.find(call);
 	if (found == this->active.end()) return;
-	std::shared_ptr<UpstreamConnection> link = found->second;
+	std::shared_ptr<UpstreamConnection> connection = found->second;
 	this->active.erase(found);
-	link->number = 0;
-	link->stream->Abort();
-	link->Close();
+	connection->number = 0;
+	connection->stream->Abort();
+	connection->Close();
 }
 
 bool HttpUpstream::IsConnected(uint64_t call) const
@@ -246,38 +247,38 @@
 {
 	auto found = this->idle.find(peer);
 	if (found == this->idle.end()) return;
-	std::list<std::shared_ptr<UpstreamConnection>> links = std::move(found->second);
+	std::list<std::shared_ptr<UpstreamConnection>> connections = std::move(found->second);
 	this->idle.erase(found);
-	for (const auto &link : links) link->stream->Close();
+	for (const auto &connection : connections) connection->stream->Close();
 }
 
 void HttpUpstream::OnTick(TimePoint now)
 {
 	std::vector<std::shared_ptr<UpstreamConnection>> timed_out;
-	for (const auto &[number, link] : this->active) {
-		if (!link->stream->WasOpen() && now - link->started > link->call.connect_timeout) timed_out.push_back(link);
+	for (const auto &[number, connection] : this->active) {
+		if (!connection->stream->WasOpen() && now - connection->started > connection->call.connect_timeout) timed_out.push_back(connection);
 	}
-	for (const auto &link : timed_out) {
-		auto on_end_callback = std::move(link->call.on_end);
-		this->Cancel(link->number);
-		if (on_end_callback) on_end_callback(UpstreamEnd::NotSent, "no connection in time");
+	for (const auto &connection : timed_out) {
+		auto on_end_callback = std::move(connection->call.on_end);
+		this->Cancel(connection->number);
+		if (on_end_callback) on_end_callback(UpstreamEnd::NotSent, "connect timed out");
 	}
 	for (auto peer = this->idle.begin(); peer != this->idle.end();) {
-		auto &links = peer->second;
-		while (!links.empty() && now - links.front()->idle_since > links.front()->idle_timeout) {
-			links.front()->stream->Close();
-			links.pop_front();
+		auto &connections = peer->second;
+		while (!connections.empty() && now - connections.front()->idle_since > connections.front()->idle_timeout) {
+			connections.front()->stream->Close();
+			connections.pop_front();
 		}
-		peer = links.empty() ? this->idle.erase(peer) : std::next(peer);
+		peer = connections.empty() ? this->idle.erase(peer) : std::next(peer);
 	}
 }
 
 void HttpUpstream::Shutdown()
 {
-	for (const auto &[number, link] : this->active) link->stream->Close();
+	for (const auto &[number, connection] : this->active) connection->stream->Close();
 	this->active.clear();
-	for (const auto &[peer, links] : this->idle) {
-		for (const auto &link : links) link->stream->Close();
+	for (const auto &[peer, connections] : this->idle) {
+		for (const auto &connection : connections) connection->stream->Close();
 	}
 	this->idle.clear();
 }
--- a/src/platform/wire_configuration.cpp
+++ b/src/platform/wire_configuration.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file wire_configuration.cpp Decodes configurations and heartbeats. */
+/** @file wire_configuration.cpp Decodes the configuration and the targets' heartbeats. */
 
 #include "platform/wire_configuration.h"
 #include "net/tcp_stream.h"
@@ -23,7 +23,7 @@
 	return std::string(key.substr(PREFIX.size()));
 }
 
-/** @return The texts in the list \a name of \a object. */
+/** @return The strings in the array field \a name of \a object. */
 static std::vector<std::string> StringArrayField(const Json &object, const char *name)
 {
 	std::vector<std::string> texts;
@@ -33,7 +33,7 @@
 	return texts;
 }
 
-/** Decode one route. */
+/** Decode a route. */
 static Route DecodeRoute(const Json &from)
 {
 	Route route;
@@ -41,7 +41,7 @@
 	route.host = StringField(from, "host");
 	route.path_prefix = StringField(from, "pathPrefix");
 	std::string kind = StringField(from, "routeType");
-	// A kind we do not know is treated as the most careful one that still serves: run at most once.
+	// An unknown route type gets the strictest treatment: its requests are run at most once.
 	route.kind = kind == "idempotent" ? RouteType::Repeatable : kind == "streaming" ? RouteType::Stream : RouteType::Once;
 	for (const Json &share : ArrayField(from, "weightedServices")) {
 		route.pools.push_back({StringField(share, "service"), NumberField(share, "weight", 1)});
@@ -57,7 +57,7 @@
 	return route;
 }
 
-/** Decode one pool of targets. */
+/** Decode a pool of targets. */
 static Pool DecodePool(const Json &from)
 {
 	Pool pool;
@@ -68,18 +68,18 @@
 	pool.cold_rate = NumberField(from, "coldPerS");
 	auto engine = from.find("engine");
 	if (engine == from.end() || !engine->is_object()) return pool;
-	EnginePool &known = pool.engine.emplace();
-	known.slots = Uint32Field(*engine, "capacity", 1);
-	known.memory_tokens = UintField(*engine, "kvTokenCapacity");
-	known.bytes_per_token = NumberField(*engine, "kvTokenBytes");
-	known.link_mbps = NumberField(*engine, "linkMbps");
-	known.tokens_per_event = Uint32Field(*engine, "stride", 1);
-	known.can_migrate = BoolField(*engine, "moves");
-	known.can_back_up = BoolField(*engine, "backups");
+	EnginePool &engine_pool = pool.engine.emplace();
+	engine_pool.slots = Uint32Field(*engine, "capacity", 1);
+	engine_pool.memory_tokens = UintField(*engine, "kvTokenCapacity");
+	engine_pool.bytes_per_token = NumberField(*engine, "kvTokenBytes");
+	engine_pool.link_mbps = NumberField(*engine, "linkMbps");
+	engine_pool.tokens_per_event = Uint32Field(*engine, "stride", 1);
+	engine_pool.can_migrate = BoolField(*engine, "moves");
+	engine_pool.can_back_up = BoolField(*engine, "backups");
 	return pool;
 }
 
-/** Decode the limits on callers. */
+/** Decode the limits on requests of callers. */
 static CallerLimits DecodeLimits(const Json &from)
 {
 	CallerLimits limits;
@@ -94,9 +94,9 @@
 {
 	Json root = Json::parse(text, nullptr, false);
 	if (!root.is_object()) return Error{Step::Configuration, "store", "the configuration is not a JSON object"};
-	bool whole = UintField(root, "version") > 0 && root.contains("routes") && root["routes"].is_array() && root.contains("services") &&
-	             root["services"].is_array();
-	if (!whole) return Error{Step::Configuration, "store", "the configuration lacks its version, routes or services"};
+	bool complete = UintField(root, "version") > 0 && root.contains("routes") && root["routes"].is_array() && root.contains("services") &&
+	                root["services"].is_array();
+	if (!complete) return Error{Step::Configuration, "store", "the configuration lacks its version, routes or services"};
 	ServingConfiguration configuration;
 	configuration.version = UintField(root, "version");
 	for (const Json &route : ArrayField(root, "routes")) configuration.routes.push_back(DecodeRoute(route));
@@ -117,27 +117,27 @@
 	return configuration;
 }
 
-/** @return What is wrong with \a row as a heartbeat; null if each field that is used is there and of its type. */
+/** @return Why \a row is not a valid heartbeat; null if it is one. */
 static const char *FindHeartbeatError(const Json &row)
 {
-	if (!row.is_object()) return "no object";
+	if (!row.is_object()) return "not a JSON object";
 	for (const char *name : {"service", "address", "zone"}) {
-		if (StringField(row, name).empty()) return "no service, address or zone";
+		if (StringField(row, name).empty()) return "service, address or zone is missing";
 	}
-	if (!ParseEndpoint(StringField(row, "address"))) return "no address";
+	if (!ParseEndpoint(StringField(row, "address"))) return "the address is not of the form IP:PORT";
 	std::string state = StringField(row, "state");
-	if (state != "ready" && state != "draining") return "no known state";
-	if (NumberField(row, "capacity") < 1) return "no capacity";
-	if (!row.contains("coldRemainingMs") || !row["coldRemainingMs"].is_number()) return "no time for which it is cold";
-	if (!row.contains("sequence") || !row["sequence"].is_number()) return "no sequence";
-	if (row.contains("born") && !row["born"].is_number_unsigned()) return "no start";
+	if (state != "ready" && state != "draining") return "unknown state";
+	if (NumberField(row, "capacity") < 1) return "the capacity is missing or below 1";
+	if (!row.contains("coldRemainingMs") || !row["coldRemainingMs"].is_number()) return "coldRemainingMs is not a number";
+	if (!row.contains("sequence") || !row["sequence"].is_number()) return "the sequence is not a number";
+	if (row.contains("born") && !row["born"].is_number_unsigned()) return "the start time is not an unsigned integer";
 	return nullptr;
 }
 
 Result<TargetRow> DecodeTargetRow(const StoredRow &row)
 {
 	if (row.deleted) return TargetRow{row.key, std::nullopt};
-	if (row.unreadable) return Error{Step::Table, row.key, "no bytes"};
+	if (row.unreadable) return Error{Step::Table, row.key, "the value is not valid base64"};
 	Json root = Json::parse(row.value, nullptr, false);
 	if (const char *error = FindHeartbeatError(root)) return Error{Step::Table, row.key, error};
 	ListedTarget target;
--- a/src/store/table_sharing.cpp
+++ b/src/store/table_sharing.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_sharing.cpp Which instance reads the store's tables for its peers. */
+/** @file table_sharing.cpp Chooses the instance that reads the store's tables on behalf of its peers. */
 
 #include "store/table_sharing.h"
 #include "core/hash_func.h"
@@ -8,7 +8,7 @@
 
 namespace cottonspool {
 
-/** @return The place of \a name in \a names; their number if it is not there. */
+/** @return Index of \a name in \a names; their number if it is not among them. */
 static size_t IndexOf(const std::vector<std::string> &names, const std::string &name)
 {
 	return static_cast<size_t>(std::find(names.begin(), names.end(), name) - names.begin());
@@ -17,7 +17,7 @@
 size_t TableSharing::PositionOf(const SharedTable &table, const std::string &instance, const std::string &instance_hall) const
 {
 	if (table.halls.empty()) return IndexOf(table.order, instance);
-	// Of other halls only those that read for them are heard.
+	// Updates from another hall come only from its first instance, so the order of the halls decides.
 	if (instance_hall != this->hall) return IndexOf(table.halls, instance_hall);
 	size_t in_hall = IndexOf(table.order, instance);
 	return in_hall == 0 ? IndexOf(table.halls, this->hall) : table.halls.size() - 1 + in_hall;
@@ -49,19 +49,19 @@
 
 bool TableSharing::ShouldForward(const std::string &sender_hall, bool forwarded) const
 {
-	bool stays_in_halls = !this->tables.empty() && !this->tables.front().halls.empty();
-	return stays_in_halls && !forwarded && sender_hall != this->hall;
+	bool published_per_hall = !this->tables.empty() && !this->tables.front().halls.empty();
+	return published_per_hall && !forwarded && sender_hall != this->hall;
 }
 
 void TableSharing::OnUpdate(const std::string &sender, const std::string &sender_hall, TableUpdate update, TimePoint now)
 {
 	for (SharedTable &shared : this->tables) {
 		if (shared.watch->Table() != update.table) continue;
-		// One that reads goes on until one before it in the order does: otherwise those that took over would stop each other.
-		// Only its reading of this very table counts: three instances that each were first for one of three tables read all three.
-		bool after = this->PositionOf(shared, sender, sender_hall) > this->PositionOf(shared, this->name, this->hall);
-		bool reads = shared.watch->ReadsFromStore(now) && !shared.watch->IsUnavailable();
-		update.healthy = update.healthy && !(after && reads);
+		// An active reader yields only to updates from an instance before it in the order; otherwise concurrent readers would stop each
+		// other. This is decided per table, as each table has its own order.
+		bool sender_follows = this->PositionOf(shared, sender, sender_hall) > this->PositionOf(shared, this->name, this->hall);
+		bool is_reader = shared.watch->ReadsFromStore(now) && !shared.watch->IsUnavailable();
+		update.healthy = update.healthy && !(sender_follows && is_reader);
 		return shared.watch->OnUpdate(update, now);
 	}
 }
--- a/src/store/table_watch.cpp
+++ b/src/store/table_watch.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file table_watch.cpp Follows one table of the store. */
+/** @file table_watch.cpp Keeps a local view of one table of the store. */
 
 #include "store/table_watch.h"
 #include <algorithm>
@@ -49,7 +49,7 @@
 void TableWatch::Start(TimePoint now)
 {
 	this->started = true;
-	// What there is to know is told by whoever reads it; a table without rows costs a start no call.
+	// A coupled table starts without a snapshot: the reader's updates advertise its version, and an empty table then costs no call.
 	this->known = this->lead_table != nullptr;
 	this->needs_snapshot = !this->known;
 	if (this->known) return;
@@ -82,14 +82,14 @@
 
 std::optional<TableUpdate> TableWatch::HeartbeatUpdate() const
 {
-	if (!this->following || this->lost) return std::nullopt;
+	if (!this->following || this->unavailable) return std::nullopt;
 	return TableUpdate{this->table, this->rows_version, this->rows_version, false, true, {}, this->version};
 }
 
 std::optional<TableUpdate> TableWatch::Snapshot() const
 {
 	if (!this->HasSnapshot()) return std::nullopt;
-	TableUpdate update{this->table, StoreVersion{}, this->rows_version, true, !this->lost, {}, this->version};
+	TableUpdate update{this->table, StoreVersion{}, this->rows_version, true, !this->unavailable, {}, this->version};
 	for (const auto &[key, row] : this->kept_rows) update.rows.push_back(row);
 	return update;
 }
@@ -109,17 +109,17 @@
 
 void TableWatch::PublishRead(StoreVersion from, bool full, const std::vector<StoredRow> &rows, TimePoint now)
 {
-	// One that only caught up has nothing to tell: the others have heard it from the one that reads for all.
+	// A read that isn't on behalf of the peers has nothing to publish: they get the same changes from the reader.
 	bool reads_for_peers = this->ReadsForPeers(now);
 	if (this->on_publish && reads_for_peers) this->on_publish({this->table, from, this->rows_version, full, true, rows, this->version});
 }
 
 void TableWatch::AdvanceRowsVersion(const std::vector<StoredRow> &rows)
 {
-	// A table without rows is known as of its era.
+	// An empty table has version number 0 of the epoch.
 	this->rows_version = std::max(this->rows_version, StoreVersion{this->version.epoch, 0});
 	for (const StoredRow &row : rows) this->rows_version = std::max(this->rows_version, StoreVersion{this->version.epoch, row.version});
-	// What was told of is known now, even if its last change was a removal that a whole read does not show.
+	// The advertised change is covered now, even if it was a deletion, which a snapshot does not show.
 	if (this->advertised <= this->version) this->rows_version = std::max(this->rows_version, this->advertised);
 	this->behind = this->advertised > this->rows_version;
 }
@@ -127,42 +127,43 @@
 void TableWatch::OnUpdate(const TableUpdate &update, TimePoint now)
 {
 	if (update.table != this->table) return;
-	bool first = update.full && this->needs_snapshot && this->started;
-	if (!this->known && !first) return;
-	// Whoever tells this has not met the store as it is now: neither its rows nor its sign of life tell anything of it.
+	bool requested = update.full && this->needs_snapshot && this->started;
+	if (!this->known && !requested) return;
+	// The sender still has the state of an earlier epoch, so that neither its rows nor its heartbeat are valid.
 	if (update.to.epoch < this->version.epoch) return;
 	if (update.healthy) {
-		// For one that has given the store up, its return is news by itself: rows may have lapsed meanwhile.
-		// One that still has to read what could not be passed on has not regained it: only an own answer tells that.
-		bool returns = this->lost && this->call == 0 && !this->behind && update.to <= this->rows_version;
-		// After a silence the store is back for somebody: what could not be passed on is asked for at once, without the rest of a pause.
-		if (this->lost && now - this->peer_update_at > this->takeover_delay) this->next_call_at = std::min(this->next_call_at, now);
+		// An up-to-date view makes the store count as available again without a call. If changes are still to be read, only a successful
+		// read of this instance does.
+		bool recovers = this->unavailable && this->call == 0 && !this->behind && update.to <= this->rows_version;
+		// The first update after an outage shows that the store is available to a peer: end the backoff.
+		if (this->unavailable && now - this->peer_update_at > this->takeover_delay) this->next_call_at = std::min(this->next_call_at, now);
 		this->peer_update_at = now;
-		if (returns) this->OnAnswered(now);
+		if (recovers) this->OnAnswered(now);
 		if (update.to == this->rows_version) this->confirmed_at = now;
-		// Whoever takes the reading over goes on from there: the store forgets what is long past.
+		// Advance the position for a later takeover, as the store truncates its change history.
 		if (update.to == this->rows_version && update.read.epoch == this->version.epoch)
 			this->version = std::max(this->version, update.read);
 	}
-	if (update.to < this->rows_version || (update.to == this->rows_version && !first)) return;
-	bool other = this->IsOtherEpoch(update.to);
-	// A table whose last change has no number has no rows: whoever says so has said all.
+	if (update.to < this->rows_version || (update.to == this->rows_version && !requested)) return;
+	bool epoch_changed = this->IsOtherEpoch(update.to);
+	// Version number 0 means an empty table, so that the update is a snapshot.
 	bool full = update.full || update.to.number == 0;
-	// A sign of life that is ahead says that there is more to read; changes that don't concern anybody here are told without rows.
+	// A heartbeat with a newer version only advertises changes. Changes that were filtered out completely come without rows, but span
+	// versions.
 	bool has_changes = !update.rows.empty() || update.from < update.to;
-	bool fits = full || (has_changes && !other && (this->limits.allow_gaps || update.from <= this->rows_version));
-	if (!fits && this->limits.allow_gaps && !other) return;
-	// What is asked of the former store, or since one of its versions, tells nothing of the one that is there now.
-	if (other) this->CancelCall();
-	if (!fits) {
-		if (other) this->following = false;
+	bool applies = full || (has_changes && !epoch_changed && (this->limits.allow_gaps || update.from <= this->rows_version));
+	if (!applies && this->limits.allow_gaps && !epoch_changed) return;
+	// A call that was started in the former epoch has no valid answer in the new one.
+	if (epoch_changed) this->CancelCall();
+	if (!applies) {
+		if (epoch_changed) this->following = false;
 		this->advertised = std::max(this->advertised, update.to);
 		return this->AdvanceRowsVersion({});
 	}
-	this->ApplyUpdate(update, full, other, now);
+	this->ApplyUpdate(update, full, epoch_changed, now);
 }
 
-void TableWatch::ApplyUpdate(const TableUpdate &update, bool full, bool other, TimePoint now)
+void TableWatch::ApplyUpdate(const TableUpdate &update, bool full, bool epoch_changed, TimePoint now)
 {
 	StoreVersion before = this->version;
 	this->version = std::max(this->version, update.to);
@@ -171,8 +172,8 @@
 		this->CancelCall();
 		this->OnSnapshotKnown(now);
 	}
-	if (other) this->following = true;
-	if (other && this->on_store_restored) this->on_store_restored({before, update.to, true}, now);
+	if (epoch_changed) this->following = true;
+	if (epoch_changed && this->on_store_restored) this->on_store_restored({before, update.to, true}, now);
 	this->AdvanceRowsVersion({});
 	this->confirmed_at = now;
 	this->UpdateKeptRows(update.rows, full);
@@ -182,7 +183,7 @@
 
 void TableWatch::OnSnapshotKnown(TimePoint now)
 {
-	// What was read just now is as good as news: an instance that starts among others leaves the following to them.
+	// The snapshot counts as an update, so that a starting instance waits for the reader's updates before it polls.
 	if (!this->known) this->peer_update_at = now;
 	this->known = true;
 	this->following = true;
@@ -203,7 +204,7 @@
 	if (this->call != 0 && now >= this->call_deadline) {
 		this->CancelCall();
 		if (!this->following) this->read_timeout = std::min(this->limits.max_read_timeout, 2 * this->read_timeout);
-		this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "no answer in time"}, now);
+		this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "timed out"}, now);
 	}
 	if (this->call != 0 || !this->ReadsFromStore(now) || this->DefersToProbe(now) || now < this->next_call_at) return;
 	if (this->following && !this->SnapshotIsDue(now)) {
@@ -215,19 +216,18 @@
 
 void TableWatch::CheckLeadTable(TimePoint now)
 {
-	// The wait for a change is long here: that the store is gone is seen sooner where it is asked more often.
-	if (this->lead_table == nullptr || !this->lead_table->IsUnavailable() || this->call == 0 || this->lost) return;
+	// Long polls of a coupled table detect an outage late; the leading table, which is polled more often, detects it earlier.
+	if (this->lead_table == nullptr || !this->lead_table->IsUnavailable() || this->call == 0 || this->unavailable) return;
 	this->CancelCall();
-	this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "lost where it is asked more often"}, now);
+	this->OnFailure({std::nullopt, StoreFailure::NoAnswer, "reads of the leading table failed"}, now);
 }
 
 bool TableWatch::DefersToProbe(TimePoint now)
 {
-	bool leaves = this->lost && this->recovery_probe != nullptr && this->recovery_probe->IsUnavailable() &&
-	              this->recovery_probe->ReadsFromStore(now);
-	if (this->awaits_probe && !leaves) this->next_call_at = now;
-	this->awaits_probe = leaves;
-	return leaves;
+	bool defers = this->unavailable && this->prober != nullptr && this->prober->IsUnavailable() && this->prober->ReadsFromStore(now);
+	if (this->awaits_probe && !defers) this->next_call_at = now;
+	this->awaits_probe = defers;
+	return defers;
 }
 
 void TableWatch::CountCall(ReadReason reason)
@@ -256,7 +256,7 @@
 
 ReadReason TableWatch::ReasonToRead(TimePoint now) const
 {
-	if (this->lost) return ReadReason::Probe;
+	if (this->unavailable) return ReadReason::Probe;
 	if (this->behind) return ReadReason::Behind;
 	if (this->catch_up) return ReadReason::CatchUp;
 	bool takes_over = this->takeover_delay > Duration(0) && now - this->confirmed_at > this->takeover_delay;
@@ -268,9 +268,9 @@
 	ReadReason reason = this->ReasonToRead(now);
 	this->CountCall(reason);
 	this->call_deadline = now + this->limits.wait + this->limits.slack;
-	// After a failure the next answer is wanted soon: it tells that the store is back.
-	// One that takes the reading over asks for an answer at once: the others are to hear that it does.
 	this->call_version = this->version;
+	// Only a regular poll waits for a change. After a failure or a takeover the answer itself matters: it shows that the store is
+	// available, and lets the peers know that there is a reader again.
 	bool immediate = reason != ReadReason::Follow;
 	Duration wait = immediate ? Duration(0) : this->limits.wait;
 	if (immediate) this->call_deadline = now + this->read_timeout;
@@ -292,7 +292,7 @@
 
 void TableWatch::DiscardRefutedUpdate()
 {
-	// The store itself, asked after that was told, knows of no such era: it would be asked for ever.
+	// The store, called after that version was advertised, doesn't know its epoch: drop it, or it would be requested endlessly.
 	if (this->advertised.epoch > this->version.epoch && this->advertised == this->call_advertised) this->advertised = StoreVersion{};
 }
 
@@ -316,20 +316,20 @@
 		return this->ReadPage(now);
 	}
 	this->next_key.clear();
-	bool other = this->IsOtherEpoch(this->pages_version);
-	// A replica that lags must not take us back: read again a little later.
-	if (!other && this->pages_version < this->version) {
+	bool epoch_changed = this->IsOtherEpoch(this->pages_version);
+	// A lagging replica of the store must not revert the local view: retry after the backoff.
+	if (!epoch_changed && this->pages_version < this->version) {
 		if (this->on_stale_snapshot) this->on_stale_snapshot(this->pages_version);
 		return this->OnFailure({std::nullopt, StoreFailure::Malformed, "older than known", answer.epoch}, now);
 	}
 	StoreVersion before = this->version;
 	this->version = this->pages_version;
-	if (other) this->rows_version = StoreVersion{};
+	if (epoch_changed) this->rows_version = StoreVersion{};
 	std::vector<StoredRow> rows = std::move(this->pages);
 	this->OnSnapshotKnown(now);
 	this->DiscardRefutedUpdate();
 	this->OnAnswered(now);
-	if (other && this->on_store_restored) this->on_store_restored({before, this->version, false}, now);
+	if (epoch_changed && this->on_store_restored) this->on_store_restored({before, this->version, false}, now);
 	this->AdvanceRowsVersion(rows);
 	if (this->filter_rows) this->filter_rows(rows, true);
 	this->UpdateKeptRows(rows, true);
@@ -343,10 +343,10 @@
 	TimePoint now = this->clock();
 	this->call = 0;
 	StoreVersion read = this->VersionOf(answer, answer.page ? answer.page->version : 0);
-	// Asked of a former store: whatever came is no answer to what is to be known now.
+	// The call was started in a former epoch, so that its answer is not valid any more.
 	if (this->call_version.epoch < this->version.epoch && read.epoch <= this->version.epoch) return this->ContinueReading(now);
-	bool other = this->IsOtherEpoch(read);
-	if (other || (!answer.page && answer.failure == StoreFailure::HistoryUnavailable)) return this->BeginSnapshotRead(now);
+	bool epoch_changed = this->IsOtherEpoch(read);
+	if (epoch_changed || (!answer.page && answer.failure == StoreFailure::HistoryUnavailable)) return this->BeginSnapshotRead(now);
 	if (!answer.page) return this->OnFailure(answer, now);
 	this->catch_up = false;
 	StoreVersion before = this->rows_version;
@@ -365,8 +365,8 @@
 
 void TableWatch::OnFailure(const RowsAnswer &answer, TimePoint now)
 {
-	if (!this->lost) {
-		this->lost = true;
+	if (!this->unavailable) {
+		this->unavailable = true;
 		this->unavailable_since = now;
 		if (this->on_unavailable) this->on_unavailable(answer, now);
 	}
@@ -379,8 +379,8 @@
 	this->confirmed_at = now;
 	this->backoff = Duration(0);
 	this->read_timeout = this->limits.min_read_timeout;
-	if (!this->lost) return;
-	this->lost = false;
+	if (!this->unavailable) return;
+	this->unavailable = false;
 	if (this->on_reconnected) this->on_reconnected(now - this->unavailable_since, now);
 }
 
--- a/src/tests/net_test.cpp
+++ b/src/tests/net_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file net_test.cpp Connections, the HTTP server and the HTTP client, over loopback. */
+/** @file net_test.cpp Guards against lost disconnects, misread messages and repeated sends of the HTTP server and client, over loopback. */
 
 #include "net/http_front.h"
 #include "net/http_upstream.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** A blocking socket of the test's own, either side. */
+/** A plain socket for the other side of a connection. */
 class PlainSocket {
 public:
 	explicit PlainSocket(int fd) : fd(fd) {}
@@ -59,12 +59,12 @@
 		this->fd = -1;
 	}
 
-	int fd; ///< Descriptor.
+	int fd; ///< File descriptor.
 };
 
-/** A loop with a way to run it for a while, and a listening socket of the test's own. */
-struct Bench {
-	Bench() { uv_loop_init(&this->loop); }
+/** An event loop that a test runs for a while, and a plain listening socket. */
+struct LoopFixture {
+	LoopFixture() { uv_loop_init(&this->loop); }
 
 	void Run(int ms)
 	{
@@ -92,18 +92,18 @@
 
 	int Accept() const { return accept(this->listener, nullptr, nullptr); }
 
-	~Bench()
+	~LoopFixture()
 	{
 		if (this->listener >= 0) close(this->listener);
 		this->Run(5);
 	}
 
-	uv_loop_t loop{};  ///< Loop.
+	uv_loop_t loop{};  ///< Event loop.
 	int listener = -1; ///< Listening socket.
 };
 
-/** One upstream call and what came of it. */
-struct CallProbe {
+/** An upstream call and its recorded result. */
+struct RecordedCall {
 	UpstreamCall Make(uint16_t port, const std::string &id)
 	{
 		UpstreamCall call;
@@ -113,9 +113,9 @@
 		call.target = "/x/";
 		call.body = "body";
 		call.on_head = [this, id](const HttpHead &head) {
-			bool mine = FindHeader(head.headers, "Id") == id;
-			if (mine) this->status = head.status;
-			return mine;
+			bool matches = FindHeader(head.headers, "Id") == id;
+			if (matches) this->status = head.status;
+			return matches;
 		};
 		call.on_body = [this](std::string_view bytes) { this->body.append(bytes); };
 		call.on_end = [this](UpstreamEnd how, const char *) {
@@ -127,170 +127,170 @@
 
 	int status = 0;                          ///< Status.
 	std::string body;                        ///< Body.
-	UpstreamEnd end = UpstreamEnd::Complete; ///< How it ended.
-	int ended = 0;                           ///< How often on_end was called.
+	UpstreamEnd end = UpstreamEnd::Complete; ///< Outcome of the call.
+	int ended = 0;                           ///< Number of calls of on_end.
 };
 
 } // namespace
 
-TEST_CASE("Upstream - an answer without a length is whole after a close, not after a reset")
+TEST_CASE("Upstream - an answer without a length is complete after a close, not after a reset")
 {
 	for (bool reset : {false, true}) {
 		CAPTURE(reset);
-		Bench bench;
-		uint16_t port = bench.Listen();
-		HttpUpstream upstream(&bench.loop);
-		CallProbe probe;
+		LoopFixture fixture;
+		uint16_t port = fixture.Listen();
+		HttpUpstream upstream(&fixture.loop);
+		RecordedCall probe;
 		upstream.Start(probe.Make(port, "a"));
-		bench.Run(20);
-		PlainSocket peer(bench.Accept());
-		// Both the bytes and the end are there before the loop looks again.
+		fixture.Run(20);
+		PlainSocket peer(fixture.Accept());
+		// Both the bytes and the end arrive before the event loop runs again.
 		peer.Receive();
 		peer.Send("HTTP/1.1 200 OK\r\nId: a\r\n\r\nhalf of an ans");
 		if (reset) peer.Reset();
 		if (!reset) peer.Close();
-		bench.Run(30);
+		fixture.Run(30);
 		CHECK(probe.ended == 1);
 		CHECK(probe.end == (reset ? UpstreamEnd::Broken : UpstreamEnd::Complete));
 		upstream.Shutdown();
 	}
 }
 
-TEST_CASE("Upstream - a connection is reused, and never sends a request twice when it turns out to be closed")
+TEST_CASE("Upstream - a connection is reused, and a request is not sent twice if the connection was closed")
 {
-	Bench bench;
-	uint16_t port = bench.Listen();
-	HttpUpstream upstream(&bench.loop);
-	CallProbe first;
+	LoopFixture fixture;
+	uint16_t port = fixture.Listen();
+	HttpUpstream upstream(&fixture.loop);
+	RecordedCall first;
 	upstream.Start(first.Make(port, "a"));
-	bench.Run(20);
-	PlainSocket peer(bench.Accept());
+	fixture.Run(20);
+	PlainSocket peer(fixture.Accept());
 	peer.Receive();
 	peer.Send("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nok");
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(first.end == UpstreamEnd::Complete);
-	CallProbe second;
+	RecordedCall second;
 	upstream.Start(second.Make(port, "b"));
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(upstream.Counters().connects == 1);
 	CHECK(peer.Receive().find("POST /x/") == 0);
 	peer.Reset();
-	bench.Run(30);
+	fixture.Run(30);
 	CHECK(second.ended == 1);
 	CHECK(second.end == UpstreamEnd::Broken);
 	CHECK(upstream.Counters().connects == 1);
 	upstream.Shutdown();
 }
 
-TEST_CASE("Upstream - an answer of an earlier request in the place of ours is dropped")
+TEST_CASE("Upstream - an answer to an earlier request is dropped")
 {
-	Bench bench;
-	uint16_t port = bench.Listen();
-	HttpUpstream upstream(&bench.loop);
-	CallProbe probe;
+	LoopFixture fixture;
+	uint16_t port = fixture.Listen();
+	HttpUpstream upstream(&fixture.loop);
+	RecordedCall probe;
 	upstream.Start(probe.Make(port, "b"));
-	bench.Run(20);
-	PlainSocket peer(bench.Accept());
+	fixture.Run(20);
+	PlainSocket peer(fixture.Accept());
 	peer.Send("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 5\r\n\r\nstale");
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(probe.ended == 0);
 	peer.Send("HTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 4\r\n\r\nours");
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(probe.end == UpstreamEnd::Complete);
 	CHECK(probe.body == "ours");
 	CHECK(upstream.Counters().stray_answers == 1);
-	CallProbe next;
+	RecordedCall next;
 	upstream.Start(next.Make(port, "c"));
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(upstream.Counters().connects == 2);
 	upstream.Shutdown();
 }
 
-TEST_CASE("Upstream - bytes behind a whole answer belong to nobody, and the connection is not kept")
+TEST_CASE("Upstream - a connection with extra bytes behind an answer is not reused")
 {
-	Bench bench;
-	uint16_t port = bench.Listen();
-	HttpUpstream upstream(&bench.loop);
-	CallProbe probe;
+	LoopFixture fixture;
+	uint16_t port = fixture.Listen();
+	HttpUpstream upstream(&fixture.loop);
+	RecordedCall probe;
 	upstream.Start(probe.Make(port, "a"));
-	bench.Run(20);
-	PlainSocket peer(bench.Accept());
+	fixture.Run(20);
+	PlainSocket peer(fixture.Accept());
 	peer.Send("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nok");
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(probe.end == UpstreamEnd::Complete);
 	CHECK(probe.body == "ok");
-	CallProbe next;
+	RecordedCall next;
 	upstream.Start(next.Make(port, "b"));
-	bench.Run(20);
+	fixture.Run(20);
 	CHECK(upstream.Counters().connects == 2);
 	upstream.Shutdown();
 }
 
-TEST_CASE("Upstream - a connection that cannot be made means that nothing was sent")
+TEST_CASE("Upstream - a refused connection counts as not sent")
 {
-	Bench bench;
-	uint16_t port = bench.Listen();
-	close(bench.listener);
-	bench.listener = -1;
-	HttpUpstream upstream(&bench.loop);
-	CallProbe probe;
+	LoopFixture fixture;
+	uint16_t port = fixture.Listen();
+	close(fixture.listener);
+	fixture.listener = -1;
+	HttpUpstream upstream(&fixture.loop);
+	RecordedCall probe;
 	upstream.Start(probe.Make(port, "a"));
-	bench.Run(30);
+	fixture.Run(30);
 	CHECK(probe.ended == 1);
 	CHECK(probe.end == UpstreamEnd::Refused);
 	CHECK(IsCertainlyUnsent(probe.end));
 	upstream.Shutdown();
 }
 
-TEST_CASE("Front - a caller who leaves before the first byte of an answer is noticed at once")
+TEST_CASE("Front - a caller that disconnects before the answer is detected at once")
 {
 	for (bool reset : {false, true}) {
 		CAPTURE(reset);
-		Bench bench;
-		std::shared_ptr<FrontExchange> taken;
-		bool gone = false;
+		LoopFixture fixture;
+		std::shared_ptr<FrontExchange> received;
+		bool disconnected = false;
 		{
-			HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &exchange) {
-				taken = exchange;
-				exchange->on_disconnect = [&] { gone = true; };
+			HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &exchange) {
+				received = exchange;
+				exchange->on_disconnect = [&] { disconnected = true; };
 			});
 			uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 			PlainSocket caller(PlainSocket::Connect(port));
 			caller.Send("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi");
-			bench.Run(20);
-			REQUIRE(taken);
-			CHECK(taken->body == "hi");
-			CHECK(!gone);
+			fixture.Run(20);
+			REQUIRE(received);
+			CHECK(received->body == "hi");
+			CHECK(!disconnected);
 			if (reset) caller.Reset();
 			if (!reset) caller.Close();
-			bench.Run(20);
-			CHECK(gone);
-			CHECK(taken->IsOver());
+			fixture.Run(20);
+			CHECK(disconnected);
+			CHECK(received->IsOver());
 		}
 	}
 }
 
-TEST_CASE("Front - requests that are sent together are answered one by one, in order")
+TEST_CASE("Front - pipelined requests are answered one by one, in order")
 {
-	Bench bench;
-	std::vector<std::shared_ptr<FrontExchange>> taken;
-	HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &exchange) { taken.push_back(exchange); });
+	LoopFixture fixture;
+	std::vector<std::shared_ptr<FrontExchange>> received;
+	HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &exchange) { received.push_back(exchange); });
 	uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 	PlainSocket caller(PlainSocket::Connect(port));
 	caller.Send("GET /1/ HTTP/1.1\r\nHost: h\r\n\r\nGET /2/ HTTP/1.1\r\nHost: h\r\n\r\n");
-	bench.Run(20);
-	REQUIRE(taken.size() == 1);
-	taken[0]->Respond(200, {}, "one");
-	bench.Run(20);
-	REQUIRE(taken.size() == 2);
-	CHECK(taken[1]->head.target == "/2/");
-	taken[1]->Respond(200, {}, "two");
-	bench.Run(20);
+	fixture.Run(20);
+	REQUIRE(received.size() == 1);
+	received[0]->Respond(200, {}, "one");
+	fixture.Run(20);
+	REQUIRE(received.size() == 2);
+	CHECK(received[1]->head.target == "/2/");
+	received[1]->Respond(200, {}, "two");
+	fixture.Run(20);
 	std::string answers = caller.Receive();
 	CHECK(answers.find("one") < answers.find("two"));
 }
 
-TEST_CASE("Front - input that could be read in two ways is refused")
+TEST_CASE("Front - requests with ambiguous framing are rejected")
 {
 	const std::vector<std::string> bad{
 	        "POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -301,22 +301,22 @@
 	};
 	for (const std::string &text : bad) {
 		CAPTURE(text);
-		Bench bench;
+		LoopFixture fixture;
 		int handled = 0;
-		HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &) { handled++; });
+		HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &) { handled++; });
 		uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 		PlainSocket caller(PlainSocket::Connect(port));
 		caller.Send(text);
-		bench.Run(20);
+		fixture.Run(20);
 		CHECK(handled == 0);
 		CHECK(caller.Receive().find("HTTP/1.1 400") == 0);
 	}
 }
 
-TEST_CASE("Front - heads and bodies past their limits are refused with the status that says so")
+TEST_CASE("Front - heads and bodies beyond their limits are rejected with 431 and 413")
 {
-	Bench bench;
-	HttpFront front(&bench.loop, [](const std::shared_ptr<FrontExchange> &exchange) { exchange->Respond(200, {}, {}); });
+	LoopFixture fixture;
+	HttpFront front(&fixture.loop, [](const std::shared_ptr<FrontExchange> &exchange) { exchange->Respond(200, {}, {}); });
 	front.limits.max_head_bytes = 200;
 	front.limits.max_body_bytes = 10;
 	uint16_t port = front.Listen({"127.0.0.1", 0}).value();
@@ -326,29 +326,29 @@
 	long_body.Send("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n");
 	PlainSocket long_chunks(PlainSocket::Connect(port));
 	long_chunks.Send("POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n12345678901\r\n0\r\n\r\n");
-	bench.Run(30);
+	fixture.Run(30);
 	CHECK(long_head.Receive().find("HTTP/1.1 431") == 0);
 	CHECK(long_body.Receive().find("HTTP/1.1 413") == 0);
 	CHECK(long_chunks.Receive().find("HTTP/1.1 413") == 0);
 }
 
-TEST_CASE("Front - an answer that is broken off does not look whole")
+TEST_CASE("Front - an aborted answer does not look complete")
 {
-	Bench bench;
-	std::shared_ptr<FrontExchange> taken;
-	HttpFront front(&bench.loop, [&](const std::shared_ptr<FrontExchange> &exchange) { taken = exchange; });
+	LoopFixture fixture;
+	std::shared_ptr<FrontExchange> received;
+	HttpFront front(&fixture.loop, [&](const std::shared_ptr<FrontExchange> &exchange) { received = exchange; });
 	uint16_t port = front.Listen({"127.0.0.1", 0}).value();
 	PlainSocket caller(PlainSocket::Connect(port));
 	caller.Send("GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n");
-	bench.Run(20);
-	taken->Start(200, {}, std::nullopt);
-	taken->Write("part");
-	bench.Run(10);
+	fixture.Run(20);
+	received->Start(200, {}, std::nullopt);
+	received->Write("part");
+	fixture.Run(10);
 	std::string got = caller.Receive();
-	taken->Abort();
-	bench.Run(20);
+	received->Abort();
+	fixture.Run(20);
 	got += caller.Receive();
 	CHECK(got.find("part") != std::string::npos);
 	CHECK(got.find("0\r\n\r\n") == std::string::npos);
-	CHECK(taken->IsOver());
+	CHECK(received->IsOver());
 }
--- a/src/tests/sharing_simulation.cpp
+++ b/src/tests/sharing_simulation.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file sharing_simulation.cpp Hundreds of instances that share the reading of one table, in simulated time. */
+/** @file sharing_simulation.cpp Simulation of hundreds of instances that share a table. */
 
 #include "tests/sharing_simulation.h"
 #include "platform/node_settings.h"
@@ -10,52 +10,52 @@
 
 using std::chrono::milliseconds;
 
-static constexpr Duration TICK = milliseconds(25);        ///< Time between ticks, as at a gateway.
-static constexpr Duration HOP = milliseconds(3);          ///< Time of a message from one instance to another.
-static constexpr Duration STORE_ANSWER = milliseconds(7); ///< Time of an answer of the store.
+static constexpr Duration TICK = milliseconds(25);        ///< Interval of an instance's ticks, as in production.
+static constexpr Duration HOP = milliseconds(3);          ///< Latency of a message between instances.
+static constexpr Duration STORE_ANSWER = milliseconds(7); ///< Latency of the store.
 
-/** One instance. */
+/** A simulated instance. */
 struct SharingSimulation::Instance {
-	size_t number = 0;                        ///< Number.
-	std::string name;                         ///< Name; its address is the same text.
-	size_t hall = 0;                          ///< Data hall.
-	uint64_t incarnation = 0;                 ///< Starts so far.
-	bool alive = false;                       ///< It runs.
-	bool store_reachable = true;              ///< The store answers it.
-	TimePoint reachable_since;                ///< Since when it has run and reached the store.
-	TimePoint started;                        ///< When it started.
-	TimePoint readers_at;                     ///< When it last looked who reads for whom.
-	TimePoint heartbeat_at;                   ///< When it last gave a sign of life.
-	std::map<std::string, TimePoint> heard;   ///< Peers by the time at which they were last heard.
-	std::map<std::string, LinkState> links;   ///< Links that it dialled.
-	std::set<std::string> forwarders;         ///< Those of them that only news of tables go to.
-	std::unique_ptr<TableStore> store;        ///< Store as it sees it.
-	std::unique_ptr<TableWatch> watch;        ///< Follows the table.
-	uint64_t content = 0;                     ///< What it knows; like a configuration, never an older one than before.
-	StoreVersion read;                        ///< Version at which the row was written that it took in last.
-	std::unique_ptr<TableSharing> sharing;    ///< Shares the reading.
-	std::unique_ptr<PeerDirectory> directory; ///< Other instances.
+	size_t number = 0;                           ///< Number.
+	std::string name;                            ///< Name, which is its address too.
+	size_t hall = 0;                             ///< Data hall.
+	uint64_t incarnation = 0;                    ///< Incarnation: counts starts and crashes.
+	bool alive = false;                          ///< It is running.
+	bool store_reachable = true;                 ///< The store answers its calls.
+	TimePoint reachable_since;                   ///< When it was last started, or its connection to the store restored.
+	TimePoint started;                           ///< When it started.
+	TimePoint readers_at;                        ///< When it last updated the reader order.
+	TimePoint heartbeat_at;                      ///< When it last sent a heartbeat.
+	std::map<std::string, TimePoint> last_heard; ///< Time of the last heartbeat by peer.
+	std::map<std::string, LinkState> links;      ///< State of its outgoing links by peer.
+	std::set<std::string> forwarders;            ///< Peers in other halls to which it sends table updates only.
+	std::unique_ptr<TableStore> store;           ///< Its client of the store.
+	std::unique_ptr<TableWatch> watch;           ///< Its view of the table.
+	uint64_t content = 0;                        ///< Newest content that it has received.
+	StoreVersion read;                           ///< Version of the row that it received last.
+	std::unique_ptr<TableSharing> sharing;       ///< Under test.
+	std::unique_ptr<PeerDirectory> directory;    ///< Other instances.
 };
 
-/** The store as one instance sees it. */
-class SharingSimulation::View : public TableStore {
+/** An instance's client of the simulated store. */
+class SharingSimulation::StoreClient : public TableStore {
 public:
-	View(SharingSimulation &world, Instance &instance) : world(world), instance(instance) {}
+	StoreClient(SharingSimulation &simulation, Instance &instance) : simulation(simulation), instance(instance) {}
 
 	uint64_t ReadRows(const std::string &, const std::string &, RowsDone done) override
 	{
 		uint64_t call = this->Begin(std::move(done));
-		this->world.Schedule(STORE_ANSWER, [w = &this->world, call] { w->Answer(call, w->Snapshot()); });
+		this->simulation.Schedule(STORE_ANSWER, [w = &this->simulation, call] { w->Answer(call, w->Snapshot()); });
 		return call;
 	}
 
 	uint64_t ReadChanges(const std::string &, uint64_t since, Duration wait, RowsDone done) override
 	{
 		uint64_t call = this->Begin(std::move(done));
-		bool at_once = wait == Duration(0) || since != this->world.state.version;
-		if (!at_once) this->world.waiting_calls[call] = since;
-		this->world.Schedule(STORE_ANSWER + (at_once ? Duration(0) : wait),
-		                     [w = &this->world, call, since] { w->Answer(call, w->Changes(since)); });
+		bool at_once = wait == Duration(0) || since != this->simulation.state.version;
+		if (!at_once) this->simulation.waiting_calls[call] = since;
+		this->simulation.Schedule(STORE_ANSWER + (at_once ? Duration(0) : wait),
+		                          [w = &this->simulation, call, since] { w->Answer(call, w->Changes(since)); });
 		return call;
 	}
 
@@ -64,22 +64,22 @@
 
 	void Cancel(uint64_t call) override
 	{
-		this->world.open_calls.erase(call);
-		this->world.waiting_calls.erase(call);
+		this->simulation.open_calls.erase(call);
+		this->simulation.waiting_calls.erase(call);
 	}
 
 private:
 	uint64_t Begin(RowsDone done)
 	{
-		uint64_t call = this->world.next_call++;
-		this->world.calls++;
-		this->world.caller[call] = &this->instance;
-		this->world.open_calls[call] = std::move(done);
+		uint64_t call = this->simulation.next_call++;
+		this->simulation.calls++;
+		this->simulation.caller[call] = &this->instance;
+		this->simulation.open_calls[call] = std::move(done);
 		return call;
 	}
 
-	SharingSimulation &world; ///< World.
-	Instance &instance;       ///< Who sees it so.
+	SharingSimulation &simulation; ///< Simulation.
+	Instance &instance;            ///< Instance that makes the calls.
 };
 
 SharingSimulation::SharingSimulation(SharingSimulationLayout layout) : layout(layout), limits(GatewayLimitsFor(NodeSettings{}))
@@ -97,13 +97,13 @@
 
 SharingSimulation::~SharingSimulation()
 {
-	// Instances cancel their calls as they go.
+	// Instances cancel their calls on destruction, so that the maps of calls must still exist.
 	this->instances.clear();
 }
 
-double SharingSimulation::LinkOf(size_t number) const
+double SharingSimulation::LinkMbps(size_t number) const
 {
-	static constexpr size_t FAST = 3; // Instances of each hall with faster links.
+	static constexpr size_t FAST = 3; // Number of instances with faster links, per hall.
 	return number % this->layout.per_hall < FAST ? 200 : 20;
 }
 
@@ -135,13 +135,13 @@
 	instance.alive = true;
 	instance.started = instance.reachable_since = this->now;
 	instance.readers_at = instance.heartbeat_at = TimePoint{};
-	instance.heard.clear();
-	instance.store = std::make_unique<View>(*this, instance);
+	instance.last_heard.clear();
+	instance.store = std::make_unique<StoreClient>(*this, instance);
 	instance.watch = std::make_unique<TableWatch>(*instance.store, "table", this->limits.watch, [this] { return this->now; });
 	instance.sharing = std::make_unique<TableSharing>(instance.name, hall);
 	instance.directory = std::make_unique<PeerDirectory>(instance.name, hall, this->limits.exchange.dial);
 	for (const auto &other : this->instances) {
-		PeerLocation place{other->name, "hall-" + std::to_string(other->hall), this->LinkOf(other->number)};
+		PeerLocation place{other->name, "hall-" + std::to_string(other->hall), this->LinkMbps(other->number)};
 		instance.directory->Update(other->name, place);
 	}
 	instance.sharing->Share(*instance.watch);
@@ -149,11 +149,11 @@
 	instance.read = StoreVersion{};
 	instance.watch->on_snapshot = [this, &instance](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(instance, rows, true); };
 	instance.watch->on_changes = [this, &instance](const std::vector<StoredRow> &rows, TimePoint) { this->OnRows(instance, rows, false); };
-	instance.watch->on_publish = [this, &instance](const TableUpdate &news) {
-		this->Send(instance, {instance.name, "hall-" + std::to_string(instance.hall), false, {news}}, {});
+	instance.watch->on_publish = [this, &instance](const TableUpdate &update) {
+		this->Send(instance, {instance.name, "hall-" + std::to_string(instance.hall), false, {update}}, {});
 	};
 	instance.watch->Start(this->now);
-	// Ticks of different instances don't fall together.
+	// Spread the ticks of different instances.
 	uint64_t incarnation = ++instance.incarnation;
 	this->Schedule(TICK * static_cast<int>(number % 25) / 25, [this, &instance, incarnation] {
 		if (instance.incarnation == incarnation) this->Tick(instance);
@@ -168,7 +168,7 @@
 
 bool SharingSimulation::CanReachStore(const Instance &instance) const
 {
-	return !this->store_unavailable && instance.alive && instance.store_reachable && !this->cut_from_store.contains(instance.hall);
+	return !this->store_unavailable && instance.alive && instance.store_reachable && !this->halls_without_store.contains(instance.hall);
 }
 
 void SharingSimulation::OnRows(Instance &instance, const std::vector<StoredRow> &rows, bool all)
@@ -200,7 +200,7 @@
 void SharingSimulation::Answer(uint64_t call, RowsAnswer answer)
 {
 	auto found = this->open_calls.find(call);
-	// A store that cannot be reached says nothing at all: the caller has to give the call up by itself.
+	// An unreachable store never answers; the caller has to time out.
 	if (found == this->open_calls.end() || !this->CanReachStore(*this->caller[call])) return;
 	TableStore::RowsDone done = std::move(found->second);
 	this->open_calls.erase(found);
@@ -238,7 +238,7 @@
 		Duration delay = *late * static_cast<int>(++number) / static_cast<int>(this->waiting_calls.size());
 		this->Schedule(delay, [this, call = call, answer = this->Changes(since)] { this->Answer(call, answer); });
 	}
-	this->state = this->copy;
+	this->state = this->backup;
 	this->epoch++;
 	this->store_unavailable = false;
 	for (auto &instance : this->instances) instance->reachable_since = this->now;
@@ -274,7 +274,7 @@
 
 void SharingSimulation::Receive(Instance &instance, const TablesMessage &message)
 {
-	for (const TableUpdate &news : message.tables) instance.sharing->OnUpdate(message.instance, message.hall, news, this->now);
+	for (const TableUpdate &update : message.tables) instance.sharing->OnUpdate(message.instance, message.hall, update, this->now);
 	if (!instance.sharing->ShouldForward(message.hall, message.forwarded)) return;
 	TablesMessage forwarded = message;
 	forwarded.forwarded = true;
@@ -285,20 +285,20 @@
 {
 	const ExchangeLimits &times = this->limits.exchange;
 	instance.sharing->OnTick(this->now);
-	Duration period = std::max<Duration>(times.heartbeat, times.heartbeat_per_peer * static_cast<int>(instance.heard.size()));
-	std::erase_if(instance.heard, [&](const auto &peer) { return this->now - peer.second > period * times.missed_heartbeats; });
+	Duration period = std::max<Duration>(times.heartbeat, times.heartbeat_per_peer * static_cast<int>(instance.last_heard.size()));
+	std::erase_if(instance.last_heard, [&](const auto &peer) { return this->now - peer.second > period * times.missed_heartbeats; });
 	if (this->now - instance.heartbeat_at >= period) {
 		instance.heartbeat_at = this->now;
 		for (const auto &[to, state] : instance.links) {
 			Instance &other = this->Find(to);
 			bool peer = state == LinkState::Open && !instance.forwarders.contains(to) && this->IsLinked(instance, other);
-			if (peer) other.heard[instance.name] = this->now;
+			if (peer) other.last_heard[instance.name] = this->now;
 		}
 	}
 	if (this->now - instance.readers_at >= times.readers_refresh_interval) {
 		instance.readers_at = this->now;
-		std::vector<Reader> readers{{instance.name, this->LinkOf(instance.number)}};
-		for (const auto &[peer, at] : instance.heard) readers.push_back({peer, instance.directory->Find(peer)->link_mbps});
+		std::vector<Reader> readers{{instance.name, this->LinkMbps(instance.number)}};
+		for (const auto &[peer, at] : instance.last_heard) readers.push_back({peer, instance.directory->Find(peer)->link_mbps});
 		bool starting_up = this->now - instance.started < times.settle_time;
 		instance.sharing->SetReaders(readers, instance.directory->IsHallOnly() ? instance.directory->Halls() : std::vector<std::string>{},
 		                             starting_up);
@@ -324,13 +324,13 @@
 void SharingSimulation::Partition(size_t hall, bool from_store)
 {
 	this->partitioned_halls.insert(hall);
-	if (from_store) this->cut_from_store.insert(hall);
+	if (from_store) this->halls_without_store.insert(hall);
 }
 
 void SharingSimulation::HealPartition(size_t hall)
 {
 	this->partitioned_halls.erase(hall);
-	if (this->cut_from_store.erase(hall) == 0) return;
+	if (this->halls_without_store.erase(hall) == 0) return;
 	for (auto &instance : this->instances) {
 		if (instance->hall == hall) instance->reachable_since = this->now;
 	}
