--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_client.cpp HTTP calls to other processes, by libcurl on the libuv loop. */
+/** @file http_client.cpp Asynchronous HTTP client, using libcurl on the libuv loop. */
 
 #include "http/http_client.h"
 #include <curl/curl.h>
@@ -10,20 +10,20 @@
 
 namespace cottonspool {
 
-static constexpr uint64_t SWEEP_MS = 50;           ///< Time between looks at the limits of all calls.
-static constexpr long MAX_IDLE_CONNECTIONS = 1024; ///< Idle connections kept for reuse.
+static constexpr uint64_t SWEEP_MS = 50;           ///< Interval at which the timeouts of all calls are checked.
+static constexpr long MAX_IDLE_CONNECTIONS = 1024; ///< Most idle connections kept for reuse.
 
 struct Transfer;
 
-/** libcurl's handles and the calls under way. */
+/** libcurl's handles and the open calls. */
 struct HttpClient::State {
-	uv_loop_t *loop = nullptr;                                         ///< Loop.
+	uv_loop_t *loop = nullptr;                                         ///< Event loop.
 	CURLM *multi = nullptr;                                            ///< libcurl's multi handle.
-	uv_timer_t timer{};                                                ///< libcurl's timer.
-	uv_timer_t sweep{};                                                ///< Looks at the limits.
-	std::unordered_map<uint64_t, std::unique_ptr<Transfer>> transfers; ///< Calls under way.
-	std::unordered_set<uint64_t> ready;                                ///< Calls with something to hand on.
-	uint64_t next = 1;                                                 ///< Next number.
+	uv_timer_t timer{};                                                ///< Timer requested by libcurl.
+	uv_timer_t sweep{};                                                ///< Timer that checks the timeouts.
+	std::unordered_map<uint64_t, std::unique_ptr<Transfer>> transfers; ///< Open calls by id.
+	std::unordered_set<uint64_t> ready;                                ///< Ids of calls with data or a result to deliver.
+	uint64_t next = 1;                                                 ///< Id of the next call.
 	bool closed = false;                                               ///< Shutdown() was called.
 
 	void Deliver();
@@ -32,31 +32,32 @@
 	void CheckLimits(TimePoint now);
 };
 
-/** One call under way. What libcurl delivers is queued here and handed on outside of libcurl's callbacks. */
+/** An open call. Data from libcurl is queued here and delivered outside of libcurl's callbacks. */
 struct Transfer {
-	uint64_t number = 0;                 ///< Number of the call.
-	HttpClient::State *client = nullptr; ///< Client that makes it.
-	CURL *easy = nullptr;                ///< libcurl's handle.
+	uint64_t number = 0;                 ///< Id of the call.
+	HttpClient::State *client = nullptr; ///< State of its client.
+	CURL *easy = nullptr;                ///< libcurl's easy handle.
 	curl_slist *headers = nullptr;       ///< Request headers.
-	HttpCall call;                       ///< The call.
-	HttpHeaders answer_headers;          ///< Headers of the answer so far.
-	bool head_complete = false;          ///< The empty line after the headers came.
+	HttpCall call;                       ///< Request and callbacks.
+	HttpHeaders answer_headers;          ///< Answer headers received so far.
+	bool head_complete = false;          ///< All headers were received.
 	bool head_told = false;              ///< on_head was called.
-	std::string inbox;                   ///< Body not yet handed on.
-	bool over = false;                   ///< libcurl is done with it.
-	HttpEnd end;                         ///< How it ended, when over.
-	TimePoint started;                   ///< When it was started.
-	TimePoint last_activity;             ///< When anything last came.
+	std::string inbox;                   ///< Received body that was not delivered yet.
+	bool over = false;                   ///< libcurl has finished the transfer, or it timed out.
+	HttpEnd end;                         ///< Result, if finished.
+	TimePoint started;                   ///< Start time.
+	TimePoint last_activity;             ///< Time of the last received data.
 	bool paused = false;                 ///< Reading is paused.
 };
 
-/** A socket that libcurl wants watched. */
+/** A socket that libcurl wants to be polled. */
 struct WatchedSocket {
-	uv_poll_t poll;           ///< Watcher.
-	HttpClient::State *state; ///< Client.
-	curl_socket_t socket;     ///< Socket.
+	uv_poll_t poll;           ///< libuv's poll handle.
+	HttpClient::State *state; ///< State of the client.
+	curl_socket_t socket;     ///< The socket.
 };
 
+/** libcurl callback: a header line was received. */
 static size_t OnHeaderLine(char *data, size_t size, size_t count, void *user)
 {
 	auto *transfer = static_cast<Transfer *>(user);
@@ -75,6 +76,7 @@
 	return size * count;
 }
 
+/** libcurl callback: a part of the body was received. */
 static size_t OnBody(char *data, size_t size, size_t count, void *user)
 {
 	auto *transfer = static_cast<Transfer *>(user);
@@ -83,7 +85,7 @@
 	return size * count;
 }
 
-/** @return How a transfer ended, from libcurl's result; certain of NotSent only when no byte of the request has left. */
+/** @return The result of a transfer; NotSent only if no byte of the request was sent. */
 static HttpEnd MakeEnd(CURL *easy, CURLcode code, bool timed_out)
 {
 	HttpEnd end;
@@ -99,7 +101,7 @@
 	} else {
 		end.kind = timed_out || code == CURLE_OPERATION_TIMEDOUT ? HttpEndKind::TimedOut : HttpEndKind::Broken;
 	}
-	end.message = timed_out ? "limit passed" : curl_easy_strerror(code);
+	end.message = timed_out ? "timed out" : curl_easy_strerror(code);
 	return end;
 }
 
@@ -173,7 +175,7 @@
 	this->Deliver();
 }
 
-/** Let libcurl act on \a socket and hand on what came of it. */
+/** Let libcurl process \a events of \a socket, and deliver the results. */
 static void Act(HttpClient::State *state, curl_socket_t socket, int events)
 {
 	int running = 0;
@@ -182,6 +184,7 @@
 	state->Deliver();
 }
 
+/** libuv callback: a polled socket is ready. */
 static void OnPoll(uv_poll_t *poll, int status, int events)
 {
 	auto *watched = static_cast<WatchedSocket *>(poll->data);
@@ -192,6 +195,7 @@
 	Act(watched->state, watched->socket, flags);
 }
 
+/** libcurl callback: start, change or stop polling \a socket. */
 static int OnSocketWanted(CURL *, curl_socket_t socket, int what, void *user, void *socket_data)
 {
 	auto *state = static_cast<HttpClient::State *>(user);
@@ -215,6 +219,7 @@
 	return 0;
 }
 
+/** libcurl callback: set or stop libcurl's timer. */
 static int OnTimerWanted(CURLM *, long timeout_ms, void *user)
 {
 	auto *state = static_cast<HttpClient::State *>(user);
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_client.h HTTP calls to other processes, by libcurl on the libuv loop. */
+/** @file http_client.h Asynchronous HTTP client, using libcurl on the libuv loop. */
 
 #pragma once
 
@@ -12,23 +12,23 @@
 
 namespace cottonspool {
 
-/** One call to make, with the functions that get its answer. Each is called from the loop, never from inside Start(). */
+/** A request with the callbacks for its answer. Callbacks run on the loop, never inside Start(). */
 struct HttpCall {
-	std::string method = "GET";                            ///< Method.
-	std::string url;                                       ///< "http://IP:PORT/path".
-	HttpHeaders headers;                                   ///< Header fields.
-	std::string body;                                      ///< Body.
-	Duration connect_limit = std::chrono::seconds(1);      ///< Longest time to connect.
-	Duration first_byte_limit = std::chrono::seconds(30);  ///< Longest time from the start to the head of the answer.
-	Duration idle_limit = std::chrono::seconds(30);        ///< Longest silence after the head.
-	Duration total_limit = std::chrono::hours(24);         ///< Longest time in all.
-	bool single_send = false;                              ///< Never let the library send it twice: a fresh connection.
-	std::function<void(int, const HttpHeaders &)> on_head; ///< Status and headers came.
-	std::function<void(std::string_view)> on_data;         ///< A part of the body came.
-	std::function<void(const HttpEnd &)> on_end;           ///< It is over; nothing follows.
+	std::string method = "GET";                            ///< Request method.
+	std::string url;                                       ///< URL of the form "http://IP:PORT/path".
+	HttpHeaders headers;                                   ///< Request header fields.
+	std::string body;                                      ///< Request body.
+	Duration connect_limit = std::chrono::seconds(1);      ///< Timeout for establishing the connection.
+	Duration first_byte_limit = std::chrono::seconds(30);  ///< Timeout from the start to the head of the answer.
+	Duration idle_limit = std::chrono::seconds(30);        ///< Longest time without data after the head.
+	Duration total_limit = std::chrono::hours(24);         ///< Timeout of the whole call.
+	bool single_send = false;                              ///< Use a new connection, as libcurl sends again when a reused one fails.
+	std::function<void(int, const HttpHeaders &)> on_head; ///< Called with status and headers.
+	std::function<void(std::string_view)> on_data;         ///< Called with each part of the body.
+	std::function<void(const HttpEnd &)> on_end;           ///< Called last, with the result.
 };
 
-/** Makes HTTP calls. */
+/** HTTP client. */
 class HttpClient {
 public:
 	explicit HttpClient(uv_loop_s *loop);
@@ -36,25 +36,25 @@
 	HttpClient(const HttpClient &) = delete;
 	HttpClient &operator=(const HttpClient &) = delete;
 
-	/** Start \a call. @return Its number, for Cancel() and Pause(). */
+	/** Start \a call. @return Its id, for Cancel() and Pause(). */
 	uint64_t Start(HttpCall call);
 
-	/** End a call without any further callback. @return Whether any byte of its request may have left. */
+	/** Cancel a call; none of its callbacks is called any more. @return Whether any byte of the request may have been sent. */
 	bool Cancel(uint64_t call);
 
-	/** Stop or go on reading the answer of a call. */
+	/** Stop or continue reading the answer of a call. */
 	void Pause(uint64_t call, bool paused);
 
-	/** @return Calls under way. */
+	/** @return Number of open calls. */
 	size_t Calls() const;
 
-	/** Close all handles, so that the loop can end. */
+	/** Cancel all calls and close all handles, so that the loop can stop. */
 	void Shutdown();
 
 	struct State;
 
 private:
-	std::shared_ptr<State> state; ///< libcurl's handles.
+	std::shared_ptr<State> state; ///< libcurl's handles and the open calls.
 };
 
 } // namespace cottonspool
--- a/src/http/http_func.cpp
+++ b/src/http/http_func.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_func.cpp Small helpers about HTTP messages. */
+/** @file http_func.cpp Lookup of header fields and query parameters. */
 
 #include "http/http_type.h"
 #include <curl/curl.h>
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_server.cpp HTTP server on libuv, by h2o. */
+/** @file http_server.cpp HTTP server, using h2o on the libuv loop. */
 
 #include "http/http_server.h"
 #include <cstring>
@@ -13,40 +13,43 @@
 
 namespace cottonspool {
 
-/** What h2o keeps for one exchange; lives in the request's memory pool. */
+/** Keeps an exchange alive; allocated in the memory pool of h2o's request. */
 struct ExchangeHolder {
-	h2o_generator_t generator;              ///< First member: h2o hands back a pointer to it.
+	h2o_generator_t generator;              ///< Must be the first member, as h2o passes a pointer to it to callbacks.
 	std::shared_ptr<HttpExchange> exchange; ///< The exchange.
 };
 
-/** h2o's state behind a server. */
+/** h2o's state of a server. */
 struct HttpServer::State {
-	h2o_globalconf_t config{};    ///< Configuration.
-	h2o_context_t context{};      ///< Context on the loop.
+	h2o_globalconf_t config{};    ///< Global configuration.
+	h2o_context_t context{};      ///< Context bound to the loop.
 	h2o_accept_ctx_t accept{};    ///< Accept context.
-	uv_loop_t *loop = nullptr;    ///< Loop.
+	uv_loop_t *loop = nullptr;    ///< Event loop.
 	uv_tcp_t *listener = nullptr; ///< Listening socket.
-	HttpLimits limits;            ///< Limits.
+	HttpLimits limits;            ///< Limits on requests and connections.
 	Handler handler;              ///< Handler of requests.
 	uint32_t connections = 0;     ///< Open connections.
 };
 
-/** h2o's handler with a pointer to our server. */
+/** h2o's handler, extended by the server's request handler. */
 struct ServerHandler {
-	h2o_handler_t super;      ///< First member: h2o hands back a pointer to it.
-	HttpServer::Handler *run; ///< Our handler.
+	h2o_handler_t super;      ///< Must be the first member, as h2o passes a pointer to it to OnRequest().
+	HttpServer::Handler *run; ///< Request handler.
 };
 
+/** h2o callback: the data handed to h2o was sent. */
 static void OnGeneratorProceed(h2o_generator_t *self, h2o_req_t *)
 {
 	reinterpret_cast<ExchangeHolder *>(self)->exchange->OnProceed();
 }
 
+/** h2o callback: the connection was closed before the answer was sent. */
 static void OnGeneratorStop(h2o_generator_t *, h2o_req_t *)
 {
-	// The request is disposed of right after; DisposeHolder() tells the exchange.
+	// DisposeHolder() follows and closes the exchange.
 }
 
+/** h2o callback: the request's memory pool is being freed. */
 static void DisposeHolder(void *memory)
 {
 	auto *holder = static_cast<ExchangeHolder *>(memory);
@@ -71,6 +74,7 @@
 	return request;
 }
 
+/** h2o callback: a request was received in full. */
 static int OnRequest(h2o_handler_t *self, h2o_req_t *req)
 {
 	auto *memory = h2o_mem_alloc_shared(&req->pool, sizeof(ExchangeHolder), DisposeHolder);
@@ -83,7 +87,7 @@
 	return 0;
 }
 
-/** Put status and headers on h2o's request. */
+/** Set the answer's status and headers. */
 static void SetHead(h2o_req_t *req, int status, const HttpHeaders &headers)
 {
 	req->res.status = status;
@@ -201,6 +205,7 @@
 	this->StopListening();
 }
 
+/** h2o callback: a connection was closed. @param data The server's number of connections. */
 static void OnSocketClosed(void *data)
 {
 	(*static_cast<uint32_t *>(data))--;
@@ -213,7 +218,7 @@
 	listener->data = this->state.get();
 	sockaddr_in address{};
 	std::string name = ip + ":" + std::to_string(port);
-	if (uv_ip4_addr(ip.c_str(), port, &address) != 0) return Error{Step::Listen, name, "not an IPv4 number"};
+	if (uv_ip4_addr(ip.c_str(), port, &address) != 0) return Error{Step::Listen, name, "not an IPv4 address"};
 	int bound = uv_tcp_bind(listener, reinterpret_cast<sockaddr *>(&address), 0);
 	if (bound != 0) return Error{Step::Listen, name, uv_strerror(bound)};
 	int listening = uv_listen(reinterpret_cast<uv_stream_t *>(listener), 511, [](uv_stream_t *stream, int status) {
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_server.h HTTP server on libuv, by h2o. */
+/** @file http_server.h HTTP server, using h2o on the libuv loop. */
 
 #pragma once
 
@@ -14,65 +14,65 @@
 
 namespace cottonspool {
 
-/** One request with its answer. Lives until the caller got everything or went away. */
+/** One request and its answer. It is closed when the answer was sent in full or the caller disconnected. */
 class HttpExchange {
 public:
-	HttpRequest request;              ///< The request.
-	std::function<void()> on_closed;  ///< Called once when the exchange is over: answered in full, or caller gone.
-	std::function<void()> on_drained; ///< Called when a stream's backlog has been sent.
+	HttpRequest request;              ///< The received request.
+	std::function<void()> on_closed;  ///< Called once when the exchange is closed.
+	std::function<void()> on_drained; ///< Called when all data written so far was sent.
 
-	/** Answer whole. Does nothing once the exchange is over. */
+	/** Send a complete answer. Does nothing if the exchange is closed or an answer was started. */
 	void Respond(int status, const HttpHeaders &headers, std::string body);
 
-	/** Begin a streamed answer. */
+	/** Start a streamed answer. */
 	void Start(int status, const HttpHeaders &headers);
 
-	/** Add to a streamed answer. */
+	/** Append to a streamed answer. */
 	void Write(std::string_view data);
 
 	/** End a streamed answer. */
 	void Finish();
 
-	/** Break a streamed answer off, so that the caller sees that it is not whole. */
+	/** Abort a streamed answer, so that the caller sees that it is incomplete. */
 	void Abort();
 
-	/** @return Bytes of the answer not yet taken by the connection. */
+	/** @return Bytes of the answer not yet sent. */
 	size_t Backlog() const { return this->pending.size() + this->sending.size(); }
 
-	/** @return Whether an answer has been started. */
+	/** @return Whether an answer was started. */
 	bool IsStarted() const { return this->started; }
 
 	/** @return Whether the answer was sent in full. */
 	bool IsFinished() const { return this->finished && this->Backlog() == 0; }
 
-	/** @return Whether the exchange is over. */
+	/** @return Whether the exchange is closed. */
 	bool IsClosed() const { return this->req == nullptr; }
 
-	/** @return Whether the caller has closed the connection, as far as its socket tells. */
+	/** @return Whether the caller has closed the connection, by probing its socket. */
 	bool IsCallerGone() const;
 
-	/** Called by the server only: the connection wants more. */
+	/** For the server only: the data handed to h2o was sent. */
 	void OnProceed();
 
-	/** Called by the server only: the request is being disposed of. */
+	/** For the server only: h2o is disposing of the request. */
 	void OnDisposed();
 
-	st_h2o_req_t *req = nullptr; ///< h2o's request; null once it is over.
+	st_h2o_req_t *req = nullptr; ///< h2o's request; null once closed.
 	void *generator = nullptr;   ///< h2o's generator for this request.
 
 private:
 	void Pump();
 
-	std::string pending;   ///< Not yet handed to the connection.
-	std::string sending;   ///< Handed to the connection, not yet sent.
+	std::string pending;   ///< Data not yet handed to h2o.
+	std::string sending;   ///< Data handed to h2o, not yet sent.
 	bool started = false;  ///< The head was sent.
-	bool finished = false; ///< Nothing more will be written.
-	bool busy = false;     ///< The connection still sends what it was handed.
-	bool aborted = false;  ///< To be broken off instead of ended.
-	bool sent_end = false; ///< The end was handed to the connection.
+	bool finished = false; ///< Finish() or Abort() was called.
+	bool busy = false;     ///< h2o is sending the data.
+	bool aborted = false;  ///< Abort() was called.
+	bool sent_end = false; ///< The end of the answer was handed to h2o.
 };
 
-/** Accepts connections and hands requests to one handler. */
+/** HTTP server that passes all requests to one handler. */
 class HttpServer {
 public:
 	using Handler = std::function<void(const std::shared_ptr<HttpExchange> &)>;
@@ -82,13 +82,13 @@
 	HttpServer(const HttpServer &) = delete;
 	HttpServer &operator=(const HttpServer &) = delete;
 
-	/** Listen on \a ip and \a port; port 0 takes a free one. @return The port. */
+	/** Listen on \a ip and \a port; 0 selects a free port. @return The port. */
 	Result<uint16_t> Listen(const std::string &ip, uint16_t port);
 
-	/** Take no new connection, and close idle ones. */
+	/** Stop accepting connections, and close idle ones. */
 	void StopListening();
 
-	/** @return Open connections. */
+	/** @return Number of open connections. */
 	uint32_t Connections() const;
 
 private:
--- a/src/http/http_type.h
+++ b/src/http/http_type.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_type.h Plain types of HTTP messages and limits. */
+/** @file http_type.h Types for HTTP messages, limits and results. */
 
 #pragma once
 
@@ -14,49 +14,49 @@
 
 /** One header field. */
 struct HttpHeader {
-	std::string name;  ///< Name; compared without regard to case.
-	std::string value; ///< Value.
+	std::string name;  ///< Field name; case-insensitive.
+	std::string value; ///< Field value.
 };
 
 /** Header fields in order. */
 using HttpHeaders = std::vector<HttpHeader>;
 
-/** @return The value of the field \a name, or an empty text. */
+/** @return The value of the field \a name, or an empty string. */
 std::string_view FindHeader(const HttpHeaders &headers, std::string_view name);
 
-/** One request as received. */
+/** A received request. */
 struct HttpRequest {
-	std::string method;  ///< "GET", "POST", …
+	std::string method;  ///< Method, such as "GET".
 	std::string path;    ///< Path without the query.
-	std::string query;   ///< What follows "?", without it.
+	std::string query;   ///< Query string without the "?".
 	HttpHeaders headers; ///< Header fields.
-	std::string body;    ///< Whole body.
+	std::string body;    ///< Complete body.
 };
 
-/** @return The value of \a key in \a query ("a=1&b=2"), or an empty text. */
+/** @return The value of \a key in \a query ("a=1&b=2"), or an empty string. */
 std::string QueryValue(std::string_view query, std::string_view key);
 
 /** Limits on what callers may send. */
 struct HttpLimits {
-	size_t max_body_bytes = 4U << 20;                    ///< Largest request body; a larger one is answered 413.
-	Duration request_timeout = std::chrono::seconds(10); ///< Longest time for a request to come in whole.
-	uint32_t max_connections = 8192;                     ///< Most open connections; further ones are closed at once.
-	size_t max_backlog_bytes = 256U << 10;               ///< Unsent answer bytes from which a stream is paused.
+	size_t max_body_bytes = 4U << 20;                    ///< Largest request body; a larger one is rejected with 413.
+	Duration request_timeout = std::chrono::seconds(10); ///< Timeout for receiving a complete request.
+	uint32_t max_connections = 8192;                     ///< Most open connections; further ones are closed immediately.
+	size_t max_backlog_bytes = 256U << 10;               ///< Unsent answer data from which reading the upstream is paused.
 };
 
-/** How an HTTP call to another process ended. */
+/** Outcome of a client's HTTP call. */
 enum class HttpEndKind : uint8_t {
-	Answered, ///< The whole answer came.
-	NotSent,  ///< Certain: no byte of the request has left.
-	Broken,   ///< The connection broke after bytes of the request had left.
-	TimedOut, ///< A limit passed after bytes of the request had left.
+	Answered, ///< The complete answer was received.
+	NotSent,  ///< No byte of the request was sent.
+	Broken,   ///< The connection failed after bytes of the request were sent.
+	TimedOut, ///< A timeout expired after bytes of the request were sent.
 };
 
-/** End of an HTTP call. */
+/** Result of a client's HTTP call. */
 struct HttpEnd {
-	HttpEndKind kind = HttpEndKind::NotSent; ///< How it ended.
-	int status = 0;                          ///< Status, if the head of the answer came; 0 otherwise.
-	std::string message;                     ///< What was wrong.
+	HttpEndKind kind = HttpEndKind::NotSent; ///< Outcome.
+	int status = 0;                          ///< HTTP status; 0 if no answer head was received.
+	std::string message;                     ///< Description of the error.
 };
 
 } // namespace cottonspool
--- a/src/instance/call.cpp
+++ b/src/instance/call.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call.cpp One caller's request: what all kinds share. */
+/** @file call.cpp Base class of the calls that an instance handles for callers. */
 
 #include "instance/call_base.h"
 #include "instance/completion_request.h"
@@ -20,8 +20,8 @@
 	this->WatchCaller();
 	if (!this->spec.repeatable && !this->instance.IsConfigurationFresh()) {
 		return this->Fail({503, "configuration-stale",
-		                   "this instance cannot confirm its configuration; calls that must not be repeated wait", RanState::No,
-		                   this->instance.settings.dispatch.retry_after_min});
+		                   "the configuration could not be confirmed recently; requests that must not be repeated are rejected meanwhile",
+		                   RanState::No, this->instance.settings.dispatch.retry_after_min});
 	}
 	if (this->idempotency_key.empty()) return this->Submit();
 	this->BeginClaim();
@@ -33,8 +33,8 @@
 	this->exchange->on_closed = [weak] {
 		auto call = weak.lock();
 		if (!call || call->over) return;
-		call->Note("caller gone");
-		if (!call->spec.repeatable && call->sent) return; // Its result is recorded whether or not the caller waits.
+		call->Note("caller disconnected");
+		if (!call->spec.repeatable && call->sent) return; // It runs on, as its result has to be recorded in the claim.
 		call->over = true;
 		call->OnCallerGone();
 		if (call->submitted && !call->sent) call->instance.dispatcher.Withdraw(call->spec.id);
@@ -76,10 +76,10 @@
 			return call->Fail({422, "key-reused", "this Idempotency-Key was used for another request", RanState::No, std::nullopt});
 		case ClaimStep::Busy:
 			return call->Fail(
-			        {409, "key-in-use", "a request with this key was taken before; its result is not recorded", RanState::Unknown, soon});
+			        {409, "key-in-use", "an earlier request with this Idempotency-Key has no recorded result", RanState::Unknown, soon});
 		default:
 			return call->Fail(
-			        {503, "table-unavailable", "the platform's table cannot be reached; nothing was sent", RanState::No, 4 * soon});
+			        {503, "table-unavailable", "the platform's table is unreachable; the request was not sent", RanState::No, 4 * soon});
 		}
 	};
 	this->instance.claims.Make(this->idempotency_key, this->claim_nonce, this->request_hash, done);
@@ -100,7 +100,7 @@
 	int status = action.reason == GiveUpReason::QueueFull ? 429 : 503;
 	this->instance.metrics.Count(std::string("cottonspool_refused_total{reason=\"") + GiveUpReasonName(action.reason) + "\"}");
 	this->sent = false;
-	this->Fail({status, GiveUpReasonName(action.reason), "given up before an answer could be made", ran, action.retry_after});
+	this->Fail({status, GiveUpReasonName(action.reason), "the request was abandoned before it was answered", ran, action.retry_after});
 }
 
 void Call::OnTick(TimePoint)
--- a/src/instance/call_base.h
+++ b/src/instance/call_base.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call_base.h One caller's request in an instance: what all kinds share. */
+/** @file call_base.h Base class of the calls that an instance handles for callers. */
 
 #pragma once
 
@@ -12,85 +12,85 @@
 
 class Instance;
 
-/** A refusal or an error as told to the caller. */
+/** A rejection or an error as it is answered to the caller. */
 struct CallFailure {
 	int status = 503;                    ///< HTTP status.
-	std::string reason;                  ///< Short name of the reason.
-	std::string message;                 ///< What was wrong, and what would be allowed.
-	RanState ran = RanState::No;         ///< Whether the request was run.
-	std::optional<Duration> retry_after; ///< When coming back helps.
+	std::string reason;                  ///< Machine-readable error type.
+	std::string message;                 ///< Explanation for the caller.
+	RanState ran = RanState::No;         ///< Whether the request was executed.
+	std::optional<Duration> retry_after; ///< Delay for the Retry-After header; none omits it.
 };
 
-/** One caller's request from its arrival to its final answer. */
+/** One caller's request, from its arrival to its final answer. */
 class Call : public std::enable_shared_from_this<Call> {
 public:
 	Call(Instance &instance, std::shared_ptr<HttpExchange> exchange, CallSpec spec, std::string request_name, std::string account_name);
 	virtual ~Call() = default;
 
-	/** Begin: claim if need be, then hand it to the dispatcher. */
+	/** Acquire the claim if the call has an idempotency key, then submit the call to the dispatcher. */
 	void Begin();
 
-	/** The dispatcher says: send it. */
+	/** The dispatcher has assigned a target: send the request there. */
 	virtual void OnSend(const SendAction &action) = 0;
 
-	/** The dispatcher says: give it up. */
+	/** The dispatcher has abandoned the call: answer the caller with the reason. */
 	void OnGiveUp(const GiveUpAction &action);
 
-	/** Some time has passed. */
+	/** Do periodic work; called for every open call by the instance's timer. */
 	virtual void OnTick(TimePoint now);
 
-	/** @return Whether the final answer has been given, or the caller is gone. */
+	/** @return Whether the final answer was given or the caller disconnected. */
 	bool IsOver() const { return this->over; }
 
-	/** @return What the dispatcher knows of it. */
+	/** @return The description submitted to the dispatcher. */
 	const CallSpec &Spec() const { return this->spec; }
 
-	std::string idempotency_key; ///< Key under which it may run once; empty means none.
-	uint64_t request_hash = 0;   ///< Hash of the request, bound to the key.
+	std::string idempotency_key; ///< Row key of the claim that allows one execution; empty for calls without a claim.
+	uint64_t request_hash = 0;   ///< Hash of the request; a key reused with another hash is refused.
 
 protected:
-	/** Answer with a failure, if no answer has begun. */
+	/** Answer with \a failure and conclude the call. */
 	void Fail(const CallFailure &failure);
 
-	/** The final answer has been given: forget the call and settle its claim. */
+	/** Settle the claim and remove the call from the instance, after the final answer was given. */
 	void Conclude(RanState ran, int status, const std::string &content_type, const std::string &body);
 
-	/** The caller went away: let go of everything. */
+	/** The caller disconnected: cancel the work at the target. */
 	virtual void OnCallerGone() = 0;
 
-	/** Note a step for `explain`. */
+	/** Add a step to the call's trace, which `explain` shows. */
 	void Note(std::string text);
 
-	/** Tell the dispatcher how the send ended, and carry out what it decides. */
+	/** Report the end of the current send to the dispatcher and execute its decisions. */
 	void EndSend(SendEnd end);
 
-	/** A send ended in doubt: no later refusal may say that it was not run. */
+	/** Record that a send may have executed the request, so that no later rejection claims the opposite. */
 	void MarkDoubtful() { this->doubtful = true; }
 
-	/** @return "no" unless an earlier send ended in doubt. */
+	/** @return No, or Unknown if an earlier send may have executed the request. */
 	RanState RanSoFar() const { return this->doubtful ? RanState::Unknown : RanState::No; }
 
-	Instance &instance;                     ///< Instance.
-	std::shared_ptr<HttpExchange> exchange; ///< Caller.
-	CallSpec spec;                          ///< For the dispatcher.
-	std::string request_name;               ///< Name of the request, told to the caller and to targets.
+	Instance &instance;                     ///< Instance that handles the call.
+	std::shared_ptr<HttpExchange> exchange; ///< HTTP request and answer.
+	CallSpec spec;                          ///< Description for the dispatcher.
+	std::string request_name;               ///< Request id that the caller and the targets see.
 	std::string account_name;               ///< Client account.
-	bool submitted = false;                 ///< The dispatcher has it.
-	bool sent = false;                      ///< A target has, or may have, got it.
-	bool over = false;                      ///< Final answer given, or caller gone.
-	bool doubtful = false;                  ///< Some send ended in doubt.
-	TimePoint sent_at;                      ///< When it was last sent.
+	bool submitted = false;                 ///< The call was submitted to the dispatcher.
+	bool sent = false;                      ///< A send is in progress.
+	bool over = false;                      ///< The final answer was given, or the caller disconnected.
+	bool doubtful = false;                  ///< An earlier send may have executed the request.
+	TimePoint sent_at;                      ///< Time of the last send.
 
 private:
 	void BeginClaim();
 	void Submit();
 	void WatchCaller();
 
-	/** Record what became of our claim, if there is one and it is known. */
+	/** Record the result in the claim's row, if there is a claim and the result is known. */
 	void SettleClaim(RanState ran, int status, const std::string &content_type, const std::string &body);
 
-	std::string claim_version; ///< Version of our claim's row; empty when there is none.
-	std::string claim_nonce;   ///< Nonce of our claim.
+	std::string claim_version; ///< Version of the claim's row; empty without a claim.
+	std::string claim_nonce;   ///< Nonce that identifies this claim.
 };
 
 } // namespace cottonspool
--- a/src/instance/claim_store.cpp
+++ b/src/instance/claim_store.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file claim_store.cpp Claims of calls that must not be repeated. */
+/** @file claim_store.cpp Claims of calls with an idempotency key. */
 
 #include "instance/claim_store.h"
 #include <nlohmann/json.hpp>
@@ -96,7 +96,7 @@
 		bool ours = !row.version.empty() && row.nonce == settlement.row.nonce && row.state == ClaimState::Taken;
 		if (ours) return this->WriteSettlement(std::move(settlement), row.version);
 		this->settling--;
-		// A row that is not there yet may still appear from a write in doubt: look again for a while.
+		// A write whose answer was lost may still create the row: retry for a while.
 		bool look_again = row.version.empty() && settlement.row.state == ClaimState::Released && settlement.tries < 10;
 		if (look_again) this->unsettled.push_back(std::move(settlement));
 	});
--- a/src/instance/claim_store.h
+++ b/src/instance/claim_store.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file claim_store.h Claims of calls that must not be repeated, in the platform's table. */
+/** @file claim_store.h Claims of calls with an idempotency key, stored in the platform's table. */
 
 #pragma once
 
@@ -10,52 +10,52 @@
 
 namespace cottonspool {
 
-/** Makes and settles claims. Only calls with an idempotency key cost table writes. */
+/** Acquires and settles claims. A claim makes sure that a request with an idempotency key is executed at most once. */
 class ClaimStore {
 public:
-	/** Gets the end of a claim: Proceed, Replay, Busy, Mismatch or Refuse, with the row. */
+	/** Gets the final step of an acquisition (Proceed, Replay, Busy, Mismatch or Refuse) and the row. */
 	using ClaimDone = std::function<void(ClaimStep, const ClaimRow &)>;
 
 	explicit ClaimStore(Platform &platform) : platform(platform) {}
 
-	/** Claim \a key with \a nonce for the request with \a request_hash. */
+	/** Acquire the claim \a key for the request with \a request_hash. @param nonce Unique to this attempt. */
 	void Make(const std::string &key, const std::string &nonce, uint64_t request_hash, ClaimDone done);
 
-	/** Record what became of the claim \a nonce of \a key: Done with its answer, or Released. Tried until the table answers. */
+	/** Write the result of a claim to the row \a key: Done with the answer, or Released. Retried until the table answers. */
 	void Settle(const std::string &key, ClaimRow row);
 
-	/** Try again what could not be settled; to be called about once a second. */
+	/** Retry pending settlements; to be called about once a second. */
 	void OnTick();
 
-	/** @return Claims that could not be settled yet. */
+	/** @return Number of settlements not yet written. */
 	size_t Unsettled() const { return this->unsettled.size() + this->settling; }
 
-	static constexpr size_t MAX_RECORDED_BODY = 64U << 10; ///< Largest answer recorded; a larger one is recorded without its body.
+	static constexpr size_t MAX_RECORDED_BODY = 64U << 10; ///< Largest recorded answer, in bytes; the body of a larger one is omitted.
 
 private:
-	/** A claim to settle. */
+	/** One result to be written. */
 	struct Settlement {
 		std::string key; ///< Key of the row.
 		ClaimRow row;    ///< Row to write.
-		int tries = 0;   ///< Tries so far.
+		int tries = 0;   ///< Attempts so far.
 	};
 
 	void Advance(const std::string &key, const std::shared_ptr<Claim> &claim, const ClaimDone &done);
 	void TrySettle(Settlement settlement);
 	void WriteSettlement(Settlement settlement, const std::string &version);
 
-	static constexpr size_t MAX_UNSETTLED = 8192; ///< Claims remembered for settling; the oldest is dropped beyond.
-	static constexpr int MAX_TRIES = 600;         ///< Most tries to settle one claim.
+	static constexpr size_t MAX_UNSETTLED = 8192; ///< Most settlements kept for a retry; beyond it the oldest is dropped.
+	static constexpr int MAX_TRIES = 600;         ///< Most attempts for one settlement.
 
-	Platform &platform;               ///< Table.
-	std::deque<Settlement> unsettled; ///< To be tried again.
-	size_t settling = 0;              ///< Being tried.
+	Platform &platform;               ///< Access to the table.
+	std::deque<Settlement> unsettled; ///< Settlements to be retried.
+	size_t settling = 0;              ///< Settlements being written.
 };
 
-/** @return \a row as written to the table. */
+/** @return \a row in its stored form. */
 std::string FormatClaim(const ClaimRow &row);
 
-/** Read a claim's row; anything unreadable counts as taken by another. */
+/** Parse a stored claim. A malformed one counts as taken by another request. */
 ClaimRow ParseClaim(const std::string &text, const std::string &version);
 
 } // namespace cottonspool
--- a/src/instance/completion_call.cpp
+++ b/src/instance/completion_call.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file completion_call.cpp One model generation for one caller. */
+/** @file completion_call.cpp A completion request, from sending it to an engine to its answer. */
 
 #include "instance/completion_call.h"
 #include "instance/instance.h"
@@ -8,10 +8,11 @@
 
 namespace cottonspool {
 
-static constexpr Duration RESUME_PAUSE = std::chrono::milliseconds(100); ///< Pause before each further resume, times their number.
-static constexpr uint32_t MAX_PAUSES = 10;                               ///< Pauses after which the pause no longer grows.
-static constexpr double EXPECTED_INTERVAL = 0.2;                         ///< Seconds between tokens beyond which the caller stalls.
-static constexpr size_t MAX_CANCEL_ANSWER = 4096;                        ///< Largest answer to a cancel taken.
+static constexpr Duration RESUME_PAUSE =
+        std::chrono::milliseconds(100);           ///< Delay before the second attempt to resume; grows by this much with each further one.
+static constexpr uint32_t MAX_PAUSES = 10;        ///< Largest multiple of that delay.
+static constexpr double EXPECTED_INTERVAL = 0.2;  ///< Interval between tokens, in seconds, above which a stall is counted.
+static constexpr size_t MAX_CANCEL_ANSWER = 4096; ///< Largest accepted answer to a cancellation, in bytes.
 
 CompletionCall::CompletionCall(Instance &instance, std::shared_ptr<HttpExchange> exchange, CallSpec spec, std::string request_name,
                                std::string account_name, CompletionRequest request)
@@ -66,7 +67,7 @@
 		if (self && !self->over) run(*self);
 	};
 	call.connect_limit = this->instance.settings.call.connect;
-	// Until the first token the engine may be queueing; from then on silence is a stall.
+	// Before the first token the request may be queued at the engine, which is no stall.
 	call.idle_limit = this->ledger.Delivered() == 0 ? this->instance.settings.call.first_byte : this->instance.settings.call.stall;
 	call.on_head = [with_self](int status, const HttpHeaders &headers) {
 		with_self([&](CompletionCall &self) { self.OnHead(status, headers); });
@@ -91,10 +92,10 @@
 	this->instance.client.Cancel(ended);
 	if (this->first_link) {
 		this->Note("engine answered " + std::to_string(status));
-		if (refused) return this->EndLost("refused by " + this->engine_name, true);
+		if (refused) return this->EndLost("rejected by " + this->engine_name, true);
 		return this->GiveUpGeneration("engine answered " + std::to_string(status));
 	}
-	// The generation is no longer known there: it was lost with the engine's memory, or never began.
+	// The engine no longer knows the generation, so it cannot be resumed.
 	this->GiveUpGeneration("generation lost at " + this->engine_name);
 }
 
@@ -106,7 +107,7 @@
 		this->OnEvent(*event);
 		if (this->over || this->link == 0) return;
 	}
-	if (!fits) this->LinkLost("event too long", false);
+	if (!fits) this->LinkLost("event exceeds the size limit", false);
 }
 
 void CompletionCall::OnEvent(const SseEvent &event)
@@ -219,7 +220,7 @@
 		this->link = 0;
 		this->instance.client.Cancel(ended);
 	}
-	this->Note("link lost after token " + std::to_string(this->ledger.Delivered()) + ": " + why);
+	this->Note("stream lost after token " + std::to_string(this->ledger.Delivered()) + ": " + why);
 	if (certainly_not_sent) return this->EndLost("cannot reach " + this->engine_name, true);
 	this->ScheduleResume(MonotonicNow());
 }
@@ -227,7 +228,7 @@
 void CompletionCall::ScheduleResume(TimePoint now)
 {
 	if (this->lost_since == TimePoint{}) this->lost_since = now;
-	if (now - this->lost_since > this->instance.settings.call.resume) return this->GiveUpGeneration("not resumed in time");
+	if (now - this->lost_since > this->instance.settings.call.resume) return this->GiveUpGeneration("stream not resumed in time");
 	this->resume_at = now + RESUME_PAUSE * std::min(this->resumes, MAX_PAUSES);
 	this->resumes++;
 	if (this->resumes == 1) this->Resume();
@@ -254,7 +255,7 @@
 void CompletionCall::GiveUpGeneration(const std::string &why)
 {
 	this->resume_at = TimePoint{};
-	this->Note("generation given up: " + why);
+	this->Note("generation cancelled: " + why);
 	auto body = std::make_shared<std::string>();
 	std::weak_ptr<Call> weak = this->weak_from_this();
 	HttpCall call;
@@ -275,7 +276,7 @@
 void CompletionCall::OnCancelAnswer(const std::string &why, const HttpEnd &end, const std::string &body)
 {
 	nlohmann::json answer = nlohmann::json::parse(body, nullptr, false);
-	// "Not begun" is believed only from the very start of the engine that the request was sent to.
+	// After a restart the engine does not know what it ran before, so "not begun" counts only from the same incarnation.
 	bool answered = end.kind == HttpEndKind::Answered && end.status == 200 && answer.is_object();
 	bool same = answered && !this->engine_incarnation.empty() && answer.value("incarnation", "") == this->engine_incarnation;
 	bool not_begun = same && answer.contains("began") && answer["began"] == false;
@@ -295,12 +296,11 @@
 		this->ledger.Reset();
 		return this->EndSend(certainly_not_run ? SendEnd::NotRun : SendEnd::Lost);
 	}
-	CallFailure failure{502, "generation-lost", why + "; the answer is not complete", ran ? RanState::Yes : RanState::Unknown,
-	                    std::nullopt};
+	CallFailure failure{502, "generation-lost", why + "; the answer is incomplete", ran ? RanState::Yes : RanState::Unknown, std::nullopt};
 	if (shown) {
 		this->exchange->Write(FailureEvent(failure, this->request_name));
 		this->exchange->Finish();
-		this->Note("stream ended incomplete");
+		this->Note("incomplete stream ended with an error event");
 		this->instance.metrics.Count("cottonspool_streams_incomplete_total");
 	}
 	this->EndSend(SendEnd::LostAfterUse);
--- a/src/instance/completion_call.h
+++ b/src/instance/completion_call.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file completion_call.h One model generation for one caller: sent, streamed, resumed, run again or ended truthfully. */
+/** @file completion_call.h A completion request, from sending it to an engine to the streamed or complete answer. */
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace cottonspool {
 
-/** One completion call. */
+/** A completion request. A lost stream is resumed at the engine; a lost generation is sent again where that is safe. */
 class CompletionCall : public Call {
 public:
 	CompletionCall(Instance &instance, std::shared_ptr<HttpExchange> exchange, CallSpec spec, std::string request_name,
@@ -42,26 +42,26 @@
 	void PauseIfSlow();
 	std::string EngineUrl(const std::string &path) const;
 
-	CompletionRequest request;      ///< The request.
-	GenerationLedger ledger;        ///< Order of its tokens.
-	SseParser parser;               ///< Events of the link.
+	CompletionRequest request;      ///< The parsed request.
+	GenerationLedger ledger;        ///< Detects duplicate, missing and foreign tokens.
+	SseParser parser;               ///< Parser of the engine's event stream.
 	std::string engine;             ///< Address of the engine.
-	std::string engine_name;        ///< Its name.
-	std::string engine_incarnation; ///< Its incarnation when the call was sent.
-	uint64_t link = 0;              ///< HTTP call under way; 0 when none.
-	int link_status = 0;            ///< Status of the link's answer.
-	bool first_link = true;         ///< The link is the one that carried the request.
-	bool confirmed = false;         ///< The engine has accepted the generation.
-	bool finished = false;          ///< The last token came.
-	bool paused = false;            ///< Reading is paused for a slow caller.
+	std::string engine_name;        ///< Name of the engine.
+	std::string engine_incarnation; ///< Incarnation of the engine when the request was sent.
+	uint64_t link = 0;              ///< Current HTTP call to the engine; 0 for none.
+	int link_status = 0;            ///< HTTP status of that call; 0 before it is known.
+	bool first_link = true;         ///< That call carries the request itself; false when it resumes a stream.
+	bool confirmed = false;         ///< The engine answered 200.
+	bool finished = false;          ///< The last token was received.
+	bool paused = false;            ///< Reading from the engine is paused, as the caller reads too slowly.
 	uint32_t attempts = 0;          ///< Sends so far.
-	uint32_t resumes = 0;           ///< Resumes of this generation.
-	TimePoint resume_at;            ///< When to resume; the epoch when not planned.
-	TimePoint lost_since;           ///< Since when the link has been lost without a token.
-	std::string text;               ///< Text so far, for a whole answer.
-	std::string finish_reason;      ///< Why it ended.
-	TimePoint last_token;           ///< When the last token came.
-	double stalled = 0;             ///< Seconds in which the caller waited longer than expected.
+	uint32_t resumes = 0;           ///< Attempts to resume since the last token.
+	TimePoint resume_at;            ///< Time of the next attempt to resume; the epoch for none.
+	TimePoint lost_since;           ///< When the stream was lost; the epoch after a token.
+	std::string text;               ///< Generated text so far, for callers without streaming.
+	std::string finish_reason;      ///< The engine's finish reason.
+	TimePoint last_token;           ///< Time of the last token.
+	double stalled = 0;             ///< Total time by which tokens were later than expected, in seconds.
 };
 
 } // namespace cottonspool
--- a/src/instance/completion_request.cpp
+++ b/src/instance/completion_request.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file completion_request.cpp A caller's completion request, checked. */
+/** @file completion_request.cpp Parsing of completion requests and formatting of answers. */
 
 #include "instance/completion_request.h"
 #include "core/hash_func.h"
@@ -11,17 +11,17 @@
 
 using Json = nlohmann::json;
 
-static constexpr size_t PREFIX_CHARACTERS = 256;    ///< Beginning of the prompt whose hash stands for a cached prefix.
-static constexpr size_t CHARACTERS_PER_TOKEN = 4;   ///< For the estimate of the prompt's length.
-static constexpr uint32_t MAX_MAX_TOKENS = 1000000; ///< Largest max_tokens taken.
+static constexpr size_t PREFIX_CHARACTERS = 256;    ///< Length of the beginning of the prompt that is hashed to find cached prefixes.
+static constexpr size_t CHARACTERS_PER_TOKEN = 4;   ///< Average, to estimate the prompt's length.
+static constexpr uint32_t MAX_MAX_TOKENS = 1000000; ///< Largest allowed value of max_tokens.
 
-/** @return A failure for bad input: nothing was run. */
+/** @return The error answer for an invalid \a field. */
 static CallFailure BadInput(const std::string &field, const std::string &what)
 {
 	return CallFailure{400, "bad-" + field, field + ": " + what, RanState::No, std::nullopt};
 }
 
-/** Read the prompt or the messages. */
+/** Parse "prompt", or "messages" of a chat request. */
 static std::optional<CallFailure> ReadPrompt(const Json &body, CompletionRequest *request)
 {
 	std::string prompt;
@@ -36,7 +36,7 @@
 		}
 		prompt = body["messages"].dump();
 	} else {
-		if (!body.contains("prompt") || !body["prompt"].is_string()) return BadInput("prompt", "must be a text");
+		if (!body.contains("prompt") || !body["prompt"].is_string()) return BadInput("prompt", "must be a string");
 		prompt = body["prompt"].get<std::string>();
 	}
 	request->prompt_tokens = static_cast<uint32_t>(std::max<size_t>(1, prompt.size() / CHARACTERS_PER_TOKEN));
@@ -44,13 +44,13 @@
 	return std::nullopt;
 }
 
-/** Read max_tokens. */
+/** Parse "max_tokens" or "max_completion_tokens". */
 static std::optional<CallFailure> ReadMaxTokens(const Json &body, CompletionRequest *request)
 {
 	for (const char *key : {"max_tokens", "max_completion_tokens"}) {
 		if (!body.contains(key) || body[key].is_null()) continue;
 		bool fits = body[key].is_number_unsigned() && body[key].get<uint64_t>() >= 1 && body[key].get<uint64_t>() <= MAX_MAX_TOKENS;
-		if (!fits) return BadInput(key, "must be a whole number from 1 to " + std::to_string(MAX_MAX_TOKENS));
+		if (!fits) return BadInput(key, "must be an integer from 1 to " + std::to_string(MAX_MAX_TOKENS));
 		request->max_tokens = body[key].get<uint32_t>();
 	}
 	return std::nullopt;
@@ -63,11 +63,11 @@
 	Json body = Json::parse(request.body, nullptr, false);
 	if (body.is_discarded()) return BadInput("body", "is not JSON");
 	if (!body.is_object()) return BadInput("body", "must be a JSON object");
-	if (!body.contains("model") || !body["model"].is_string()) return BadInput("model", "must be a text");
+	if (!body.contains("model") || !body["model"].is_string()) return BadInput("model", "must be a string");
 	parsed.model = body["model"].get<std::string>();
 	if (body.contains("stream") && !body["stream"].is_boolean()) return BadInput("stream", "must be true or false");
 	parsed.stream = body.value("stream", false);
-	if (body.contains("n") && body["n"] != 1) return BadInput("n", "must be 1: one request is one generation");
+	if (body.contains("n") && body["n"] != 1) return BadInput("n", "must be 1; several generations per request are not supported");
 	if (auto failure = ReadMaxTokens(body, &parsed)) return *failure;
 	if (auto failure = ReadPrompt(body, &parsed)) return *failure;
 	body["stream"] = true;
@@ -116,7 +116,7 @@
 	return answer.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/** @return \a failure as an object. */
+/** @return \a failure as a JSON object. */
 static Json FailureObject(const CallFailure &failure, const std::string &request_name)
 {
 	Json object{{"error", {{"type", failure.reason}, {"message", failure.message}}},
--- a/src/instance/completion_request.h
+++ b/src/instance/completion_request.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file completion_request.h A caller's completion request in the OpenAI form, checked, and its form for engines. */
+/** @file completion_request.h Parsing of completion requests in the OpenAI format, and formatting of answers and engine requests. */
 
 #pragma once
 
@@ -9,40 +9,40 @@
 
 namespace cottonspool {
 
-/** A checked completion request. */
+/** A validated completion request. */
 struct CompletionRequest {
-	bool chat = false;          ///< Chat form.
-	bool stream = false;        ///< The caller wants a stream.
-	std::string model;          ///< Model.
-	uint32_t max_tokens = 0;    ///< Most output tokens; 0 means not limited.
+	bool chat = false;          ///< Request of the chat API.
+	bool stream = false;        ///< The answer is to be streamed.
+	std::string model;          ///< Model name.
+	uint32_t max_tokens = 0;    ///< Limit on output tokens; 0 for none.
 	uint32_t prompt_tokens = 1; ///< Estimated length of the prompt, in tokens.
-	uint64_t prefix = 0;        ///< Hash of the prompt's beginning.
-	std::string engine_body;    ///< Body for the engine, without the priority: "{…" up to before the last brace.
+	uint64_t prefix = 0;        ///< Hash of the beginning of the prompt, for routing by cached prefix.
+	std::string engine_body;    ///< JSON body for the engine without its closing brace, as the priority is appended later.
 };
 
-/** Read and check \a request. */
+/** Parse and validate \a request. */
 outcome::basic_result<CompletionRequest, CallFailure, outcome::policy::terminate> ParseCompletion(const HttpRequest &request);
 
-/** @return \a request's body for an engine, with \a priority. */
+/** @return The JSON body sent to an engine, with \a priority. */
 std::string EngineBody(const CompletionRequest &request, int priority);
 
-/** Pieces of a stream's event that matter for a whole answer. */
+/** Parts of one stream event that the final answer needs. */
 struct CompletionPiece {
-	std::string text;          ///< Text of the token.
-	std::string finish_reason; ///< Why it ended; empty while it goes on.
+	std::string text;          ///< Generated text.
+	std::string finish_reason; ///< Finish reason; empty before the last event.
 };
 
-/** Read the data of one event of an engine's stream. @return Nothing when it is none. */
+/** Parse the data of one event of an engine's stream. @return Nothing if it is no completion chunk. */
 std::optional<CompletionPiece> ParsePiece(const std::string &data);
 
-/** @return A whole answer in the OpenAI form. */
+/** @return A complete answer in the OpenAI format. */
 std::string WholeAnswer(const CompletionRequest &request, const std::string &id, const std::string &text, const std::string &finish_reason,
                         uint64_t tokens);
 
-/** @return The body of an answer for \a failure. */
+/** @return The JSON body of an error answer. */
 std::string FailureBody(const CallFailure &failure, const std::string &request_name);
 
-/** @return The last event of a stream that ended early. */
+/** @return The event that ends an incomplete stream. */
 std::string FailureEvent(const CallFailure &failure, const std::string &request_name);
 
 } // namespace cottonspool
--- a/src/instance/configuration_keeper.cpp
+++ b/src/instance/configuration_keeper.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file configuration_keeper.cpp Keeps one instance's configuration at the head. */
+/** @file configuration_keeper.cpp Replication of the configuration log in one instance. */
 
 #include "instance/configuration_keeper.h"
 #include "metrics/log.h"
@@ -11,9 +11,9 @@
 
 static const char *const ENTRY_PREFIX = "config/entry/";
 static const char *const SNAPSHOT_KEY = "config/snapshot";
-static constexpr size_t TRIM_BYTES = 1U << 20; ///< Bytes read at once after which freed memory is given back to the system.
+static constexpr size_t TRIM_BYTES = 1U << 20; ///< Amount of data after which freed memory is returned to the system.
 
-/** @return The key of entry number \a sequence; keys sort like sequences. */
+/** @return The row key of entry \a sequence, zero-padded so that keys sort like sequences. */
 static std::string EntryKey(uint64_t sequence)
 {
 	std::string digits = std::to_string(sequence);
@@ -123,12 +123,12 @@
 {
 	if (acceptance->tries++ >= MAX_TRIES) {
 		ApplyEnd end = acceptance->doubtful ? ApplyEnd::Unknown : ApplyEnd::Failed;
-		return acceptance->done({end, 0, false, {}, "the table gave no clear answer; repeat with the same id"});
+		return acceptance->done({end, 0, false, {}, "the table did not confirm the change; repeat it with the same id"});
 	}
 	this->PollThen([this, acceptance](bool reached) {
 		if (reached) return this->AcceptAtHead(acceptance);
 		if (acceptance->doubtful) return this->AcceptRound(acceptance);
-		acceptance->done({ApplyEnd::Failed, 0, false, {}, "the table cannot be reached; nothing was written"});
+		acceptance->done({ApplyEnd::Failed, 0, false, {}, "the table is unreachable; nothing was written"});
 	});
 }
 
@@ -140,7 +140,7 @@
 	}
 	if (auto other = this->state.FindConflict(change)) {
 		this->counters.conflicts++;
-		return acceptance->done({ApplyEnd::Conflict, 0, false, *other, "changed meanwhile"});
+		return acceptance->done({ApplyEnd::Conflict, 0, false, *other, "the same records were changed concurrently"});
 	}
 	Result<void> valid = this->state.Validate(change, this->check_policy);
 	if (!valid) return acceptance->done({ApplyEnd::Invalid, 0, false, {}, valid.error().peer + ": " + valid.error().message});
@@ -153,7 +153,8 @@
 void ConfigurationKeeper::OnInserted(const std::shared_ptr<Acceptance> &acceptance, const std::string &text, const WriteOutcome &outcome)
 {
 	if (outcome.result == WriteResult::Unknown) acceptance->doubtful = true;
-	// Not done, taken by another, or in doubt: look at the rows again; our change is found there by its id if it took effect.
+	// The outcome is unknown or another change took the row. The next attempt reads the log and finds the change by its id if it was
+	// written.
 	if (outcome.result != WriteResult::Done) return this->AcceptRound(acceptance);
 	Result<Entry> entry = ParseEntry(text);
 	this->counters.accepted++;
--- a/src/instance/configuration_keeper.h
+++ b/src/instance/configuration_keeper.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file configuration_keeper.h Keeps one instance's configuration at the head: boots, polls, takes pushes, accepts changes. */
+/** @file configuration_keeper.h Replication of the configuration log in one instance, and acceptance of operators' changes. */
 
 #pragma once
 
@@ -11,36 +11,36 @@
 
 namespace cottonspool {
 
-/** How an operator's change ended. */
+/** Result code of an operator's change. */
 enum class ApplyEnd : uint8_t {
-	Accepted, ///< It is in the order; see the sequence.
-	Conflict, ///< Another change came between; see the other change.
-	Invalid,  ///< It was refused; see the error.
-	Failed,   ///< The table could not be reached; nothing was written.
-	Unknown,  ///< It may have been accepted: repeat it with the same id.
+	Accepted, ///< Appended to the log; the sequence is set.
+	Conflict, ///< A concurrent change touched the same records; that change is set.
+	Invalid,  ///< Failed validation; the message is set.
+	Failed,   ///< The table is unreachable; nothing was written.
+	Unknown,  ///< It may have been accepted; the operator has to repeat it with the same id.
 };
 
 /** Result of an operator's change. */
 struct ApplyResult {
-	ApplyEnd end = ApplyEnd::Unknown; ///< How it ended.
-	uint64_t sequence = 0;            ///< Place, when accepted.
-	bool repeated = false;            ///< It had been accepted before.
-	AcceptedChange other;             ///< The other change, on a conflict.
-	std::string message;              ///< The error, when it was refused.
+	ApplyEnd end = ApplyEnd::Unknown; ///< Result code.
+	uint64_t sequence = 0;            ///< Position in the log, if accepted.
+	bool repeated = false;            ///< An earlier request with the same id had been accepted.
+	AcceptedChange other;             ///< The conflicting change.
+	std::string message;              ///< Error message.
 };
 
-/** Counters of the keeper. */
+/** Counters of the configuration since the start. */
 struct ConfigurationCounters {
-	uint64_t from_table = 0; ///< Entries first seen in the table.
-	uint64_t from_peers = 0; ///< Entries first seen from a peer.
+	uint64_t from_table = 0; ///< Entries first received from the table.
+	uint64_t from_peers = 0; ///< Entries first received from a peer.
 	uint64_t accepted = 0;   ///< Changes accepted through this instance.
-	uint64_t conflicts = 0;  ///< Changes refused for a conflict.
-	uint64_t snapshots = 0;  ///< Snapshots written.
+	uint64_t conflicts = 0;  ///< Changes rejected because of a conflict.
+	uint64_t snapshots = 0;  ///< Snapshots written to the object store.
 };
 
 /**
- * The log of entries is a run of rows "config/entry/N". A change is accepted by inserting the next row if it is absent, so the
- * table orders racing operators; a lost answer is settled by looking for the change's id in the rows that are there.
+ * Replicates the configuration log, whose entries are the rows "config/entry/N" of the platform's table. A change is accepted by
+ * inserting the next row if absent, so the table orders concurrent changes. After a lost answer, the change's id is searched in the log.
  */
 class ConfigurationKeeper {
 public:
@@ -52,43 +52,43 @@
 	{
 	}
 
-	/** Read the snapshot, then the tail. */
+	/** Load the snapshot, then the entries that follow it. */
 	void Boot();
 
-	/** Look for newer entries in the table. */
+	/** Read newer entries from the table. */
 	void Poll();
 
-	/** Entries came from a peer. @return False when some are missing before them: fetch from Sequence(). */
+	/** Apply entries from a peer. @return False if earlier ones are missing, which are then to be fetched. */
 	bool OnEntries(const std::vector<std::string> &entries);
 
-	/** A snapshot came from a peer. */
+	/** Load a snapshot from a peer, if it is newer. */
 	void OnSnapshot(const std::string &snapshot);
 
-	/** @return What a peer that has \a after is to be sent: entries, or the whole when they are no longer remembered. */
+	/** @return The entries that follow sequence \a after, or a snapshot if they are no longer kept. */
 	PeerMessage AnswerFetch(uint64_t after) const;
 
-	/** Try to have \a change accepted. */
+	/** Validate \a change and append it to the log. */
 	void Accept(const Change &change, ApplyDone done);
 
-	/** The head was confirmed by a peer no earlier than \a at. */
+	/** Record that at \a at this instance had all entries. */
 	void OnConfirmed(TimePoint at) { this->confirmed_at = std::max(this->confirmed_at, at); }
 
-	/** @return When this instance last knew that it was at the head; the epoch before the first time. */
+	/** @return When this instance was last confirmed to have all entries; the epoch if never. */
 	TimePoint ConfirmedAt() const { return this->confirmed_at; }
 
-	/** @return The configuration in force. */
+	/** @return The current configuration. */
 	const ConfigurationState &State() const { return this->state; }
 
-	/** @return Counters since the start. */
+	/** @return The counters. */
 	const ConfigurationCounters &Counters() const { return this->counters; }
 
 private:
-	/** A change on its way to acceptance. */
+	/** A change that is being accepted. */
 	struct Acceptance {
 		Change change;         ///< The change.
-		ApplyDone done;        ///< Gets the result.
-		int tries = 0;         ///< Rounds so far.
-		bool doubtful = false; ///< Some write may have taken effect.
+		ApplyDone done;        ///< Receives the result.
+		int tries = 0;         ///< Attempts so far.
+		bool doubtful = false; ///< A write without an answer may have taken effect.
 	};
 
 	using PollDone = std::function<void(bool)>;
@@ -101,19 +101,19 @@
 	void MaybeSnapshot();
 	void Announce(std::vector<std::string> entries);
 
-	static constexpr size_t MAX_RECENT = 512;              ///< Entries remembered for peers.
-	static constexpr size_t MAX_RECENT_BYTES = 256U << 10; ///< Most bytes of them.
-	static constexpr int MAX_TRIES = 8;                    ///< Rounds of one acceptance.
-
-	Platform &platform;                                  ///< Table and objects.
-	int64_t snapshot_every;                              ///< Entries between snapshots.
-	PolicyCheck check_policy;                            ///< Checks policies.
-	Changed changed;                                     ///< Told of every movement.
-	ConfigurationState state;                            ///< Configuration in force.
-	std::deque<std::pair<uint64_t, std::string>> recent; ///< Last entries, for peers.
-	size_t recent_bytes = 0;                             ///< Bytes of the last entries.
-	TimePoint confirmed_at;                              ///< Last confirmation.
-	bool polling = false;                                ///< A poll is under way.
+	static constexpr size_t MAX_RECENT = 512;              ///< Most recent entries kept for peers.
+	static constexpr size_t MAX_RECENT_BYTES = 256U << 10; ///< Most bytes of recent entries.
+	static constexpr int MAX_TRIES = 8;                    ///< Most attempts for one change.
+
+	Platform &platform;                                  ///< Access to the table and the objects.
+	int64_t snapshot_every;                              ///< Number of entries between snapshots.
+	PolicyCheck check_policy;                            ///< Validates policy programs.
+	Changed changed;                                     ///< Called after each update of the configuration.
+	ConfigurationState state;                            ///< Current configuration.
+	std::deque<std::pair<uint64_t, std::string>> recent; ///< Recent entries with their sequences, oldest first.
+	size_t recent_bytes = 0;                             ///< Size of the recent entries.
+	TimePoint confirmed_at;                              ///< Time of the last confirmation.
+	bool polling = false;                                ///< A poll is in progress.
 	ConfigurationCounters counters;                      ///< Counters.
 };
 
--- a/src/instance/event_ring.cpp
+++ b/src/instance/event_ring.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file event_ring.cpp What was decided for each of the last calls. */
+/** @file event_ring.cpp Traces of recent calls. */
 
 #include "instance/event_ring.h"
 
--- a/src/instance/event_ring.h
+++ b/src/instance/event_ring.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file event_ring.h What was decided for each of the last calls, for `explain`. */
+/** @file event_ring.h Traces of recent calls, shown by `explain`. */
 
 #pragma once
 
@@ -12,13 +12,13 @@
 
 namespace cottonspool {
 
-/** One step in the life of a call. */
+/** One step in the trace of a call. */
 struct CallEvent {
-	TimePoint at;     ///< When.
-	std::string text; ///< What was decided or happened.
+	TimePoint at;     ///< Time of the step.
+	std::string text; ///< Description of the step.
 };
 
-/** Remembers the steps of a bounded number of calls, oldest forgotten first. */
+/** Traces of a bounded number of calls; the oldest call is evicted first. */
 class EventRing {
 public:
 	explicit EventRing(size_t max_calls) : max_calls(max_calls) {}
@@ -26,15 +26,15 @@
 	/** Add a step to the call named \a request. */
 	void Add(const std::string &request, TimePoint at, std::string text);
 
-	/** @return The steps of the call named \a request, in order; empty when it is not remembered. */
+	/** @return The steps of the call named \a request, in order; empty if it is unknown or evicted. */
 	std::vector<CallEvent> Find(const std::string &request) const;
 
-	static constexpr size_t MAX_EVENTS = 32; ///< Steps remembered of one call.
+	static constexpr size_t MAX_EVENTS = 32; ///< Most steps kept for one call; later ones are dropped.
 
 private:
-	size_t max_calls;                                               ///< Calls remembered.
-	std::list<std::string> order;                                   ///< Requests, oldest first.
-	std::unordered_map<std::string, std::vector<CallEvent>> events; ///< Steps by request.
+	size_t max_calls;                                               ///< Most calls kept.
+	std::list<std::string> order;                                   ///< Request ids, oldest first.
+	std::unordered_map<std::string, std::vector<CallEvent>> events; ///< Steps by request id.
 };
 
 } // namespace cottonspool
--- a/src/instance/instance.cpp
+++ b/src/instance/instance.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file instance.cpp One entry instance: its life, its ticks, its peers. */
+/** @file instance.cpp An entry instance: startup, shutdown, periodic work and messages of peers. */
 
 #include "instance/instance.h"
 #include "core/hash_func.h"
@@ -11,27 +11,27 @@
 
 namespace cottonspool {
 
-static constexpr uint64_t TICK_MS = 20;                                   ///< Time between ticks.
-static constexpr Duration CALL_TICK = std::chrono::milliseconds(100);     ///< Time between looks at all calls.
-static constexpr Duration FETCH_PAUSE = std::chrono::milliseconds(300);   ///< Least time between fetches from peers.
-static constexpr size_t NEWS_PER_HEARTBEAT = 6;                           ///< Other members told of in one heartbeat.
-static constexpr Duration HEARTBEAT_SOON = std::chrono::milliseconds(50); ///< Delay of a heartbeat that something new calls for.
-static constexpr size_t HEARTBEATS_REMEMBERED = 64;                       ///< Own heartbeats whose times are remembered.
-static constexpr size_t DRAIN_POLICY_TARGETS = 64;                        ///< Most targets that the drain policy is asked about a second.
+static constexpr uint64_t TICK_MS = 20;                                   ///< Interval of OnTick(), in milliseconds.
+static constexpr Duration CALL_TICK = std::chrono::milliseconds(100);     ///< Interval of Call::OnTick().
+static constexpr Duration FETCH_PAUSE = std::chrono::milliseconds(300);   ///< Least time between two fetches from peers.
+static constexpr size_t NEWS_PER_HEARTBEAT = 6;                           ///< Most members whose updates one heartbeat carries.
+static constexpr Duration HEARTBEAT_SOON = std::chrono::milliseconds(50); ///< Delay of a heartbeat that an event triggers.
+static constexpr size_t HEARTBEATS_REMEMBERED = 64;                       ///< Heartbeats whose send times are kept to match echoes.
+static constexpr size_t DRAIN_POLICY_TARGETS = 64;                        ///< Most targets evaluated by the drain policy.
 
-/** The tick's timer. */
+/** Timer that drives OnTick(). */
 struct Instance::Timer {
 	uv_timer_t timer{}; ///< libuv's timer.
 };
 
-/** @return A seed that no other process has. */
+/** @return A random seed from the system. */
 static uint64_t RandomSeed()
 {
 	std::random_device device;
 	return (static_cast<uint64_t>(device()) << 32) ^ device();
 }
 
-/** @return Milliseconds since the epoch; grows with each start of an instance of the same name. */
+/** @return The start time in milliseconds since the epoch, which distinguishes the starts of an instance. */
 static uint64_t StartNumber()
 {
 	auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -146,7 +146,7 @@
 	Log(LogLevel::Info, "leaving-notice", {{"target", leaving.target}, {"incarnation", leaving.incarnation}, {"source", source}});
 	auto number = this->dispatcher.Targets().Find(leaving.target);
 	if (number) this->RefreshLeaving(*number);
-	// A notice is told at once; heartbeats repeat it.
+	// Broadcast a new drain notice at once; heartbeats repeat it.
 	this->peers.Broadcast(HeartbeatMessage{{this->membership.self}, {leaving}, std::chrono::hours(1), {}});
 }
 
@@ -187,7 +187,8 @@
 		reply(FetchMessage{own});
 	}
 	if (sender.sequence != own) return;
-	// The sender wrote this after it had heard our heartbeat: its confirmation is no older than that one's time less its age.
+	// The sender wrote this message after it had received our heartbeat. Its confirmation is thus at most confirmed_age older than that
+	// heartbeat.
 	for (const auto &[name, counter] : message.echoes) {
 		auto sent = this->heartbeat_times.find(counter);
 		if (name != this->settings.name || sent == this->heartbeat_times.end()) continue;
@@ -266,7 +267,7 @@
 	if (now_fresh != this->fresh)
 		Log(now_fresh ? LogLevel::Info : LogLevel::Warning, now_fresh ? "configuration-fresh" : "configuration-stale");
 	this->fresh = now_fresh;
-	// A notice about an earlier start of a target says nothing of the present one.
+	// Remove notices about targets that are no longer configured.
 	TargetTable &targets = this->dispatcher.Targets();
 	std::vector<LeavingTarget> old;
 	for (const LeavingTarget &leaving : this->membership.Leaving()) {
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file instance.h One entry instance: the loop's shells around the decisions. */
+/** @file instance.h An entry instance: connects the dispatcher to callers, targets, peers and the platform. */
 
 #pragma once
 
@@ -22,7 +22,7 @@
 
 class Call;
 
-/** One entry instance. All its work is done on one loop's thread. */
+/** One entry instance. Everything runs on the thread of one event loop. */
 class Instance {
 public:
 	Instance(uv_loop_s *loop, Settings settings);
@@ -30,41 +30,41 @@
 	Instance(const Instance &) = delete;
 	Instance &operator=(const Instance &) = delete;
 
-	/** Listen, boot the configuration, begin to serve. */
+	/** Listen, load the configuration and begin to serve. */
 	Result<void> Start();
 
-	/** Begin to stop: fail readiness, finish what is in flight, then end the loop. A second call ends at once. */
+	/** Shut down gracefully: fail the readiness probe, finish open calls, then stop the loop. A second call skips the wait. */
 	void Stop();
 
-	/** @return Calls cut by the end of the instance. */
+	/** @return Calls still open when the instance stopped. */
 	size_t CutCalls() const { return this->cut_calls; }
 
-	/** Carry out decisions of the dispatcher. */
+	/** Execute decisions of the dispatcher. */
 	void Carry(Decisions decisions);
 
-	/** The final answer of \a call has been given. */
+	/** Remove \a call, whose final answer was given. */
 	void OnCallOver(CallId call);
 
-	/** @return Whether the configuration was confirmed recently enough for calls that must not be repeated. */
+	/** @return Whether the configuration was confirmed recently enough to accept calls that must not be repeated. */
 	bool IsConfigurationFresh() const;
 
-	/** @return A text that no other instance or try has used. */
+	/** @return A random string that is unique among all instances. */
 	std::string NewNonce();
 
-	/** @return The instance's state as JSON, for operators. */
+	/** @return The status of the instance as JSON, for operators. */
 	std::string StatusJson() const;
 
-	Settings settings;                 ///< Settings.
-	HttpClient client;                 ///< Calls to other processes.
+	Settings settings;                 ///< Settings from the file.
+	HttpClient client;                 ///< Client for targets and the platform.
 	NameTable<ModelNumber> models;     ///< Numbers of models and services.
 	NameTable<AccountNumber> accounts; ///< Numbers of client accounts.
-	Metrics metrics;                   ///< Figures.
-	EventRing ring;                    ///< Steps of the last calls.
-	Dispatcher dispatcher;             ///< Decisions.
-	PlatformClient platform;           ///< Platform.
-	ClaimStore claims;                 ///< Claims of calls that must not be repeated.
-	TargetWatch watch;                 ///< Load reports.
-	ConfigurationKeeper configuration; ///< Configuration.
+	Metrics metrics;                   ///< Metrics that are exported.
+	EventRing ring;                    ///< Traces of recent calls.
+	Dispatcher dispatcher;             ///< Admission, routing and retries.
+	PlatformClient platform;           ///< Table, objects and instance list.
+	ClaimStore claims;                 ///< Claims of calls with an idempotency key.
+	TargetWatch watch;                 ///< Poller of load reports.
+	ConfigurationKeeper configuration; ///< Replicated configuration.
 
 private:
 	void Handle(const std::shared_ptr<HttpExchange> &exchange);
@@ -96,30 +96,30 @@
 	void OnSecond(TimePoint now);
 	void FinishStopping(TimePoint now);
 
-	uv_loop_s *loop;                                                       ///< Loop.
-	HttpServer server;                                                     ///< Callers and operators.
-	PolicyEngine policy;                                                   ///< Operators' program.
-	std::string policy_program;                                            ///< Program loaded.
-	Membership membership;                                                 ///< Other instances, and targets that leave.
-	PeerLinks peers;                                                       ///< Links to other instances.
-	OrderKeeper orders;                                                    ///< Orders to engines.
-	pcg64 random;                                                          ///< Randomness of names and choices.
-	std::unordered_map<CallId, std::shared_ptr<Call>, StrongIdHash> calls; ///< Calls not yet answered.
-	DecisionCarrier<Call> carrier{this->calls};                            ///< Hands decisions to them.
+	uv_loop_s *loop;                                                       ///< Event loop.
+	HttpServer server;                                                     ///< HTTP server for callers and operators.
+	PolicyEngine policy;                                                   ///< Runs the operators' policy program.
+	std::string policy_program;                                            ///< Source of the loaded program.
+	Membership membership;                                                 ///< Other instances and draining targets.
+	PeerLinks peers;                                                       ///< Connections to other instances.
+	OrderKeeper orders;                                                    ///< Orders to the engines of the local hall.
+	pcg64 random;                                                          ///< Random numbers for names and choices.
+	std::unordered_map<CallId, std::shared_ptr<Call>, StrongIdHash> calls; ///< Open calls.
+	DecisionCarrier<Call> carrier{this->calls};                            ///< Executes decisions on the open calls.
 	uint64_t next_call = 1;                                                ///< Number of the next call.
-	std::map<uint64_t, TimePoint> heartbeat_times;                         ///< When the last heartbeats were sent, by counter.
-	size_t heartbeat_bytes = 0;                                            ///< Size of the last heartbeat.
-	std::map<std::string, uint64_t> heard;                                 ///< Last counter heard directly from each peer.
-	std::set<std::string> listed_leaving;                                  ///< Targets that the platform's list shows as leaving.
-	TimePoint next_heartbeat, next_poll, next_list, next_second, next_call_tick, next_fetch; ///< When each is due.
-	bool fresh = false;     ///< Configuration was fresh at the last look, for the log.
-	bool stopping = false;  ///< Stop() was called.
-	TimePoint stop_begun;   ///< When.
-	bool was_ready = false; ///< Configuration and targets were known once.
-	bool listening = true;  ///< New connections are taken.
-	size_t cut_calls = 0;   ///< Calls cut by the end.
+	std::map<uint64_t, TimePoint> heartbeat_times;                         ///< Send times of recent heartbeats by counter.
+	size_t heartbeat_bytes = 0;                                            ///< Size of the last heartbeat, in bytes.
+	std::map<std::string, uint64_t> heard;                                 ///< Last heartbeat counter of each peer, to be echoed.
+	std::set<std::string> listed_leaving;                                  ///< Targets that the platform lists as draining.
+	TimePoint next_heartbeat, next_poll, next_list, next_second, next_call_tick, next_fetch; ///< Due times of periodic work.
+	bool fresh = false;     ///< Whether the configuration was fresh at the last check, to log transitions.
+	bool stopping = false;  ///< Stop() was called; the instance drains.
+	TimePoint stop_begun;   ///< When the shutdown began.
+	bool was_ready = false; ///< The readiness condition held once; it is not checked again.
+	bool listening = true;  ///< New connections are accepted.
+	size_t cut_calls = 0;   ///< Calls still open at the end.
 	struct Timer;
-	std::unique_ptr<Timer> timer; ///< The tick.
+	std::unique_ptr<Timer> timer; ///< Timer that drives OnTick().
 };
 
 } // namespace cottonspool
--- a/src/instance/instance_http.cpp
+++ b/src/instance/instance_http.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file instance_http.cpp One entry instance: what callers ask. */
+/** @file instance_http.cpp An entry instance: HTTP requests of callers and probes. */
 
 #include "core/hash_func.h"
 #include "instance/completion_call.h"
@@ -11,10 +11,10 @@
 
 namespace cottonspool {
 
-static constexpr std::string_view SERVICES_PATH = "/services/"; ///< Beginning of the paths of service calls.
-static constexpr std::string_view OPERATOR_PATH = "/operator/"; ///< Beginning of the paths of operators.
-static constexpr size_t MAX_KEY_LENGTH = 256;                   ///< Longest Idempotency-Key.
-static constexpr int64_t MAX_WAIT_MS = 86400000;                ///< Longest wait that a caller may ask for.
+static constexpr std::string_view SERVICES_PATH = "/services/"; ///< Path prefix of service calls.
+static constexpr std::string_view OPERATOR_PATH = "/operator/"; ///< Path prefix of operators' requests.
+static constexpr size_t MAX_KEY_LENGTH = 256;                   ///< Longest Idempotency-Key, in bytes.
+static constexpr int64_t MAX_WAIT_MS = 86400000;                ///< Longest wait limit that a caller may request.
 
 void Instance::Reject(const std::shared_ptr<HttpExchange> &exchange, int status, const std::string &reason, const std::string &message)
 {
@@ -34,7 +34,7 @@
 	if (request.path.starts_with(SERVICES_PATH)) return this->HandleService(exchange);
 	if (request.path == "/livez" || request.path == "/readyz") return this->HandleProbe(exchange);
 	if (request.path == "/metrics" || request.path.starts_with(OPERATOR_PATH)) return this->HandleOperator(exchange);
-	this->Reject(exchange, 404, "path", "path: no such path; there are /v1/completions, /v1/chat/completions and /services/NAME/");
+	this->Reject(exchange, 404, "path", "path: not found; available are /v1/completions, /v1/chat/completions and /services/NAME/");
 }
 
 void Instance::HandleProbe(const std::shared_ptr<HttpExchange> &exchange)
@@ -44,7 +44,7 @@
 	this->was_ready = this->was_ready || settled;
 	if (exchange->request.path == "/livez" || ready) return exchange->Respond(200, {{"content-type", "text/plain"}}, "ok\n");
 	exchange->Respond(503, {{"content-type", "text/plain"}},
-	                  this->stopping ? "stopping\n" : "no configuration or no word of the targets yet\n");
+	                  this->stopping ? "stopping\n" : "waiting for the configuration and the first load reports\n");
 }
 
 const std::pair<const std::string, Versioned<AccountRecord>> *Instance::Authenticate(const std::shared_ptr<HttpExchange> &exchange)
@@ -56,9 +56,9 @@
 		if (account != nullptr) return account;
 	}
 	if (this->configuration.State().Sequence() == 0) {
-		this->Reject(exchange, 503, "no-configuration", "this instance has no configuration yet");
+		this->Reject(exchange, 503, "no-configuration", "this instance has not loaded a configuration yet");
 	} else {
-		this->Reject(exchange, 401, "key", "authorization: must be Bearer with the key of a client account");
+		this->Reject(exchange, 401, "key", "authorization: must be a Bearer token with the key of a client account");
 	}
 	return nullptr;
 }
@@ -159,10 +159,10 @@
 	CompletionRequest &request = parsed.value();
 	auto model = this->configuration.State().Models().find(request.model);
 	if (model == this->configuration.State().Models().end()) {
-		return this->Reject(exchange, 404, "unknown-model", "model: there is no model " + request.model.substr(0, 64));
+		return this->Reject(exchange, 404, "unknown-model", "model: unknown model " + request.model.substr(0, 64));
 	}
 	if (request.prompt_tokens > model->second.record.context_tokens) {
-		return this->Reject(exchange, 400, "prompt-too-long", "prompt: is longer than the model's context");
+		return this->Reject(exchange, 400, "prompt-too-long", "prompt: exceeds the model's context length");
 	}
 	CallSpec spec;
 	if (!this->FillSpec(exchange, account->first, account->second.record, &spec)) return;
@@ -192,7 +192,7 @@
 	if (!this->FillSpec(exchange, account->first, account->second.record, &spec)) return;
 	spec.model = this->models.Intern(ServiceModelName(service));
 	if (this->dispatcher.Targets().ForModel(spec.model).empty()) {
-		return this->Reject(exchange, 404, "unknown-service", "path: there is no service " + service.substr(0, 64));
+		return this->Reject(exchange, 404, "unknown-service", "path: unknown service " + service.substr(0, 64));
 	}
 	this->ChooseHalls(account->first, service, this->random(), &spec);
 	std::string name = this->settings.name + "-" + this->NewNonce();
--- a/src/instance/instance_operator.cpp
+++ b/src/instance/instance_operator.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file instance_operator.cpp One entry instance: what operators ask. */
+/** @file instance_operator.cpp An entry instance: HTTP requests of operators, and metrics. */
 
 #include "instance/instance.h"
 #include <nlohmann/json.hpp>
@@ -9,19 +9,19 @@
 
 using Json = nlohmann::json;
 
-/** Answer with JSON. */
+/** Answer with a JSON body. */
 static void AnswerJson(const std::shared_ptr<HttpExchange> &exchange, int status, const Json &body)
 {
 	exchange->Respond(status, {{"content-type", "application/json"}}, body.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n");
 }
 
-/** @return Milliseconds of \a duration. */
+/** @return \a duration in milliseconds. */
 static int64_t Ms(Duration duration)
 {
 	return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/** @return The records of one kind, by name, with the sequence that set each. */
+/** @return Records by name, each with the sequence of its last change. @param name Only this record; empty for all. */
 template <typename Records, typename Format> static Json ShowRecords(const Records &records, const std::string &name, Format format)
 {
 	Json shown = Json::object();
@@ -32,7 +32,7 @@
 	return shown;
 }
 
-/** @return The records of \a kind, all or the one called \a name. */
+/** @return The records of \a kind, or null if there is no such kind. @param name Only this record; empty for all. */
 static Json Show(const ConfigurationState &state, const std::string &kind, const std::string &name)
 {
 	auto parse = [](const std::string &text) { return Json::parse(text, nullptr, false); };
@@ -53,7 +53,7 @@
 	});
 }
 
-/** @return What this instance knows of one target. */
+/** @return The status of one target as this instance sees it. */
 static Json TargetStatus(const TargetTable &targets, const TargetState &target, TimePoint now)
 {
 	return Json{{"name", target.name},
@@ -139,7 +139,7 @@
 	std::string_view header = FindHeader(request.headers, "authorization");
 	constexpr std::string_view bearer = "Bearer ";
 	bool right = header.starts_with(bearer) && FormatDigest(DigestKey(header.substr(bearer.size()))) == this->settings.operator_key_sha256;
-	if (!right) return this->Reject(exchange, 401, "operator-key", "authorization: must be Bearer with the operators' key");
+	if (!right) return this->Reject(exchange, 401, "operator-key", "authorization: must be a Bearer token with the operators' key");
 	if (request.path == "/metrics") return exchange->Respond(200, {{"content-type", "text/plain; version=0.0.4"}}, this->RenderMetrics());
 	if (request.path == "/operator/status")
 		return exchange->Respond(200, {{"content-type", "application/json"}}, this->StatusJson() + "\n");
@@ -151,12 +151,12 @@
 	}
 	if (request.path == "/operator/explain") {
 		std::vector<CallEvent> events = this->ring.Find(QueryValue(request.query, "request"));
-		if (events.empty()) return this->Reject(exchange, 404, "request", "request: not remembered here");
+		if (events.empty()) return this->Reject(exchange, 404, "request", "request: unknown, or no longer kept by this instance");
 		Json lines = Json::array();
 		for (const CallEvent &event : events) lines.push_back({{"ms", Ms(event.at - events.front().at)}, {"text", event.text}});
 		return AnswerJson(exchange, 200, lines);
 	}
-	this->Reject(exchange, 404, "path", "path: there are status, apply, show and explain");
+	this->Reject(exchange, 404, "path", "path: not found; available are status, apply, show and explain");
 }
 
 void Instance::HandleApply(const std::shared_ptr<HttpExchange> &exchange)
--- a/src/instance/order_keeper.cpp
+++ b/src/instance/order_keeper.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file order_keeper.cpp Fenced orders to the engines of the own hall. */
+/** @file order_keeper.cpp Orders with fencing tokens to the engines of the local hall. */
 
 #include "instance/order_keeper.h"
 #include "metrics/log.h"
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-/** Read the lease's row. */
+/** Parse the lease's row. */
 static LeaseRow ParseLeaseRow(const PlatformRow &row)
 {
 	LeaseRow lease;
@@ -59,7 +59,7 @@
 	if (as_wanted || this->under_way >= MAX_ORDERS) return;
 	auto last = this->ordered_at.find(name);
 	if (last != this->ordered_at.end() && now - last->second < ORDER_LIMIT) return;
-	// A target that does not check fences is left alone until the last order of the holder before must have arrived.
+	// Without fencing at the engine, wait until an order of the previous holder can no longer arrive.
 	if (!record.checks_fences && now - this->lease.Since() < ORDER_LIMIT) return;
 	Json order{{"epoch", this->lease.Epoch()}, {"models", wanted}};
 	if (!record.role.empty()) order["role"] = record.role;
--- a/src/instance/order_keeper.h
+++ b/src/instance/order_keeper.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file order_keeper.h Fenced orders to the engines of the own hall, given by the holder of the hall's lease. */
+/** @file order_keeper.h Orders with fencing tokens to the engines of the local hall, sent by the holder of the hall's lease. */
 
 #pragma once
 
@@ -12,11 +12,11 @@
 /** Counters of orders. */
 struct OrderCounters {
 	uint64_t sent = 0;     ///< Orders sent.
-	uint64_t refused = 0;  ///< Orders refused for an old fence.
-	uint64_t withheld = 0; ///< Orders not sent because the lease had run out.
+	uint64_t refused = 0;  ///< Orders that an engine rejected because of an older fencing token.
+	uint64_t withheld = 0; ///< Orders not sent because the lease had expired.
 };
 
-/** Holds or seeks the lease, and orders each engine into the state that the configuration wants. */
+/** Competes for the hall's lease. While it holds the lease, orders each engine to the models and role that the configuration names. */
 class OrderKeeper {
 public:
 	OrderKeeper(HttpClient &client, Platform &platform, TargetWatch &watch, std::string hall, const std::string &holder, Duration length)
@@ -24,16 +24,16 @@
 	{
 	}
 
-	/** Renew or seek the lease, and give orders that are due. \a nonce differs with each call. */
+	/** Acquire or renew the lease, and send orders that are due. @param nonce Must differ with each call. */
 	void OnTick(const ConfigurationState &configuration, uint64_t nonce, TimePoint now);
 
-	/** Give the lease up when stopping. */
+	/** Release the lease when the instance stops. */
 	void Resign() { this->lease.Resign(); }
 
-	/** @return The lease. */
+	/** @return The state of the lease. */
 	const Lease &TheLease() const { return this->lease; }
 
-	/** @return Counters since the start. */
+	/** @return The counters since the start. */
 	const OrderCounters &Counters() const { return this->counters; }
 
 private:
@@ -42,19 +42,19 @@
 	void OrderIfDue(const std::string &name, const TargetRecord &record, TimePoint now);
 	std::string RowKey() const { return "lease/orders/" + this->hall; }
 
-	static constexpr Duration ORDER_LIMIT = std::chrono::seconds(2); ///< Longest time of one order, and pause before it is repeated.
-	static constexpr size_t MAX_ORDERS = 4;                          ///< Most orders under way: each may load weights.
-
-	HttpClient &client;                          ///< HTTP.
-	Platform &platform;                          ///< Table.
-	TargetWatch &watch;                          ///< Reported states.
-	std::string hall;                            ///< Own hall.
-	Lease lease;                                 ///< Lease.
-	Duration length;                             ///< Length of the lease.
-	bool busy = false;                           ///< A call about the lease's row is under way.
-	bool was_held = false;                       ///< Held at the last tick, for the log.
-	std::map<std::string, TimePoint> ordered_at; ///< When each engine was last ordered.
-	size_t under_way = 0;                        ///< Orders under way.
+	static constexpr Duration ORDER_LIMIT = std::chrono::seconds(2); ///< Timeout of one order, and least time before it is repeated.
+	static constexpr size_t MAX_ORDERS = 4;                          ///< Most concurrent orders, as each may load model weights.
+
+	HttpClient &client;                          ///< Client that sends the orders.
+	Platform &platform;                          ///< Access to the table.
+	TargetWatch &watch;                          ///< Source of the engines' reported states.
+	std::string hall;                            ///< Local hall.
+	Lease lease;                                 ///< Lease of the hall.
+	Duration length;                             ///< Duration of the lease.
+	bool busy = false;                           ///< A read or write of the lease's row is in progress.
+	bool was_held = false;                       ///< Whether it was held at the last tick, to log transitions.
+	std::map<std::string, TimePoint> ordered_at; ///< Time of the last order to each engine.
+	size_t under_way = 0;                        ///< Orders without an answer yet.
 	OrderCounters counters;                      ///< Counters.
 };
 
--- a/src/instance/service_call.cpp
+++ b/src/instance/service_call.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file service_call.cpp One call of a plain service for one caller. */
+/** @file service_call.cpp Forwarding of a request to a service. */
 
 #include "instance/service_call.h"
 #include "instance/instance.h"
@@ -10,12 +10,12 @@
 
 namespace cottonspool {
 
-/** Fields that concern one connection only, or that this instance sets itself. */
+/** Hop-by-hop header fields, and fields that this instance sets itself. */
 static constexpr std::array<const char *, 12> NOT_PASSED_ON{
         "connection",     "keep-alive", "proxy-authorization", "proxy-authenticate", "te", "trailer", "transfer-encoding", "upgrade",
         "content-length", "host",       "authorization",       "cottonspool-ran"};
 
-/** @return \a headers without those of one connection. */
+/** @return The fields of \a headers that are forwarded. */
 static HttpHeaders PassedOn(const HttpHeaders &headers)
 {
 	HttpHeaders passed;
@@ -83,10 +83,10 @@
 	if (end.kind != HttpEndKind::Answered || this->too_large) return this->AnswerInDoubt(end);
 	bool not_run = FindHeader(this->answer_headers, "Cottonspool-Ran") == "no";
 	if (not_run) {
-		this->Note("refused by " + this->target_name);
+		this->Note("rejected by " + this->target_name);
 		return this->EndSend(SendEnd::NotRun);
 	}
-	// A service that answers 5xx may have done a part: only its own word says that it has not.
+	// A request answered with 5xx may have been executed in part.
 	RanState ran = end.status >= 500 ? RanState::Unknown : RanState::Yes;
 	this->Note("answered " + std::to_string(end.status));
 	double seconds = Seconds(MonotonicNow() - this->spec.arrived);
@@ -103,11 +103,11 @@
 void ServiceCall::AnswerInDoubt(const HttpEnd &end)
 {
 	this->MarkDoubtful();
-	this->Note("in doubt: " + end.message);
+	this->Note("outcome unknown: " + end.message);
 	if (this->spec.repeatable && !this->too_large) return this->EndSend(SendEnd::Lost);
 	bool timed_out = end.kind == HttpEndKind::TimedOut;
 	CallFailure failure{timed_out ? 504 : 502, timed_out ? "service-timeout" : "service-answer-lost",
-	                    this->target_name + ": " + end.message + "; it may have run", RanState::Unknown, std::nullopt};
+	                    this->target_name + ": " + end.message + "; the request may have been executed", RanState::Unknown, std::nullopt};
 	this->EndSend(SendEnd::LostAfterUse);
 	this->Fail(failure);
 }
--- a/src/instance/service_call.h
+++ b/src/instance/service_call.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file service_call.h One call of a plain service for one caller. */
+/** @file service_call.h Forwarding of a request to a service. */
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace cottonspool {
 
-/** One service call: passed on whole, and never passed on cut short. */
+/** A request to a service. The answer is buffered, so the caller never gets a truncated one. */
 class ServiceCall : public Call {
 public:
 	ServiceCall(Instance &instance, std::shared_ptr<HttpExchange> exchange, CallSpec spec, std::string request_name,
@@ -24,12 +24,12 @@
 	void OnEnd(const HttpEnd &end);
 	void AnswerInDoubt(const HttpEnd &end);
 
-	std::string path;           ///< Path and query at the service.
-	std::string target_name;    ///< Target.
-	uint64_t link = 0;          ///< HTTP call under way; 0 when none.
+	std::string path;           ///< Path and query sent to the service.
+	std::string target_name;    ///< Name of the target.
+	uint64_t link = 0;          ///< Current HTTP call to the target; 0 for none.
 	HttpHeaders answer_headers; ///< Headers of the answer.
 	std::string answer_body;    ///< Body of the answer so far.
-	bool too_large = false;     ///< The answer is larger than allowed.
+	bool too_large = false;     ///< The answer exceeds the size limit.
 };
 
 } // namespace cottonspool
--- a/src/instance/target_watch.cpp
+++ b/src/instance/target_watch.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_watch.cpp Asks targets for their load reports. */
+/** @file target_watch.cpp Polling of the targets' load reports. */
 
 #include "instance/target_watch.h"
 #include "core/hash_func.h"
@@ -12,8 +12,8 @@
 
 using Json = nlohmann::json;
 
-static constexpr size_t MAX_REPORT_BYTES = 64U << 10;                     ///< Largest load report taken.
-static constexpr Duration REPORT_LIMIT = std::chrono::milliseconds(1000); ///< Longest time to wait for a report.
+static constexpr size_t MAX_REPORT_BYTES = 64U << 10;                     ///< Largest accepted load report.
+static constexpr Duration REPORT_LIMIT = std::chrono::milliseconds(1000); ///< Timeout of one poll.
 
 std::string ServiceModelName(const std::string &service)
 {
@@ -24,7 +24,7 @@
 {
 	Json object = Json::parse(body, nullptr, false);
 	if (!object.is_object()) return std::nullopt;
-	// A fraction, or a number out of range, is none of these: converting it would be undefined.
+	// Reject fractions and numbers out of range, whose conversion would be undefined behaviour.
 	for (const char *name :
 	     {"sequence", "capacity_tokens", "used_tokens", "running", "waiting", "waiting_tokens", "preemptions", "age_ms"}) {
 		auto found = object.find(name);
@@ -56,7 +56,8 @@
 	return report;
 }
 
-/** @return The names of the targets that \a instance is to use: all of a few, a stable choice of many. */
+/** @return The targets that \a instance uses: for each model all, or a stable choice of \a watched, from the local \a hall if it has
+ * enough. */
 static std::set<std::string> ChooseTargets(const ConfigurationState &configuration, const std::string &instance, const std::string &hall,
                                            size_t watched)
 {
--- a/src/instance/target_watch.h
+++ b/src/instance/target_watch.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_watch.h Asks targets for their load reports and learns from them who is ready and who leaves. */
+/** @file target_watch.h Polling of the targets' load reports. */
 
 #pragma once
 
@@ -11,17 +11,17 @@
 
 namespace cottonspool {
 
-/** What the orders to targets need to know of an engine's last report. */
+/** State of an engine from its last report, as far as orders need it. */
 struct ReportedState {
-	std::set<std::string> models; ///< Models it has loaded.
-	std::string role;             ///< Its role, if it tells.
-	std::string incarnation;      ///< Changes with each start.
+	std::set<std::string> models; ///< Loaded models.
+	std::string role;             ///< Role; empty if not reported.
+	std::string incarnation;      ///< Incarnation; changes with each start of the engine.
 };
 
-/** Watches all targets that this instance uses. */
+/** Polls the load reports of all targets that this instance uses. */
 class TargetWatch {
 public:
-	/** A load report came; carries what the dispatcher decides on. */
+	/** Receives each load report. */
 	using ReportHandler = std::function<void(TargetNumber, const LoadReport &)>;
 
 	TargetWatch(HttpClient &client, TargetTable &targets, NameTable<ModelNumber> &models, ReportHandler handler)
@@ -29,54 +29,55 @@
 	{
 	}
 
-	/** The configuration has changed: take over its targets, at most \a watched per model, chosen for \a instance. */
+	/** Apply a new configuration. @param watched Most targets per model; a larger set is divided among the instances by rendezvous hashing.
+	 */
 	void Configure(const ConfigurationState &configuration, const std::string &instance, const std::string &hall, size_t watched);
 
-	/** Ask every target whose next report is due. */
+	/** Request the reports that are due. */
 	void OnTick(TimePoint now, Duration period);
 
-	/** @return The record of the target with this name, or null. */
+	/** @return The configuration record of \a target, or null if this instance does not use it. */
 	const TargetRecord *Record(TargetNumber target) const;
 
-	/** @return The last reported state of engine \a name, or null. */
+	/** @return The last reported state of engine \a name, or null if this instance does not use it. */
 	const ReportedState *Reported(const std::string &name) const;
 
-	/** @return Whether every target was asked for its load at least once. */
+	/** @return Whether each target has answered its first poll, or failed to. */
 	bool IsSettled() const;
 
-	/** @return Reports taken in. */
+	/** @return Number of valid reports received. */
 	uint64_t Reports() const { return this->reports; }
 
-	/** @return Targets watched. */
+	/** @return Number of polled targets. */
 	size_t Watched() const { return this->watches.size(); }
 
 private:
-	/** One watched target. */
+	/** One polled target. */
 	struct Watch {
-		TargetNumber number;    ///< Number in the table.
-		TargetRecord record;    ///< What the configuration says.
-		TimePoint due;          ///< When the next report is to be asked for.
-		bool asking = false;    ///< A call is under way.
-		bool asked = false;     ///< It was asked at least once, and answered or not.
-		ReportedState reported; ///< Last report.
+		TargetNumber number;    ///< Number in the target table.
+		TargetRecord record;    ///< Configuration record.
+		TimePoint due;          ///< Time of the next poll.
+		bool asking = false;    ///< A poll is in progress.
+		bool asked = false;     ///< The first poll has ended, with or without an answer.
+		ReportedState reported; ///< State from the last report.
 	};
 
 	void Ask(const std::string &name, Watch &watch, Duration period);
 	void OnAnswer(const std::string &name, const std::string &body);
 	void ConfigureModels(const std::string &name, Watch &watch);
 
-	HttpClient &client;                   ///< HTTP.
-	TargetTable &targets;                 ///< Table of the dispatcher.
+	HttpClient &client;                   ///< Client for the polls.
+	TargetTable &targets;                 ///< Target table of the dispatcher.
 	NameTable<ModelNumber> &models;       ///< Numbers of models and services.
-	ReportHandler handler;                ///< Gets the reports.
-	std::map<std::string, Watch> watches; ///< Watched targets by name.
-	uint64_t reports = 0;                 ///< Reports taken in.
+	ReportHandler handler;                ///< Receives the reports.
+	std::map<std::string, Watch> watches; ///< Polled targets by name.
+	uint64_t reports = 0;                 ///< Valid reports received.
 };
 
-/** Read a load report. @return Nothing when \a body is none. */
+/** Parse a load report. @return Nothing if \a body is malformed. */
 std::optional<LoadReport> ParseLoadReport(const std::string &body, ReportedState *state);
 
-/** @return The name under which a service's targets stand among the models. */
+/** @return The model name that stands for \a service, as services and models share one table. */
 std::string ServiceModelName(const std::string &service);
 
 } // namespace cottonspool
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file settings.cpp Reading settings from TOML, by toml++. */
+/** @file settings.cpp Parsing and validation of settings. */
 
 #include "settings/settings_type.h"
 #include "settings/toml_guard.h"
@@ -11,13 +11,13 @@
 
 namespace cottonspool {
 
-/** @return A settings error at \a node. */
+/** @return An error about \a key at the line of \a node. */
 static Error SettingError(const std::string &file, const toml::node &node, const std::string &key, const std::string &what)
 {
 	return Error{Step::Settings, file + ":" + std::to_string(node.source().begin.line), key + ": " + what};
 }
 
-/** Store a number after checking its range. */
+/** Check the range of a number and store it. */
 template <typename Number>
 static Result<void> StoreNumber(const SettingField &field, const toml::node &node, const std::string &file, double value, Number *to)
 {
@@ -30,10 +30,10 @@
 	return outcome::success();
 }
 
-/** Store a text after checking it against the choices. */
+/** Check a string against the allowed choices and store it. */
 static Result<void> StoreText(const SettingField &field, const toml::node &node, const std::string &file, std::string *to)
 {
-	if (!node.is_string()) return SettingError(file, node, field.key, "must be a text in quotes");
+	if (!node.is_string()) return SettingError(file, node, field.key, "must be a string in quotes");
 	std::string value = node.as_string()->get();
 	if (!field.choices.empty() && std::find(field.choices.begin(), field.choices.end(), value) == field.choices.end()) {
 		std::string allowed;
@@ -44,18 +44,18 @@
 	return outcome::success();
 }
 
-/** Store an array of texts. */
+/** Store an array of strings. */
 static Result<void> StoreTexts(const SettingField &field, const toml::node &node, const std::string &file, std::vector<std::string> *to)
 {
-	if (!node.is_array()) return SettingError(file, node, field.key, "must be an array of texts");
+	if (!node.is_array()) return SettingError(file, node, field.key, "must be an array of strings");
 	for (const toml::node &item : *node.as_array()) {
-		if (!item.is_string()) return SettingError(file, item, field.key, "must be an array of texts");
+		if (!item.is_string()) return SettingError(file, item, field.key, "must be an array of strings");
 		to->push_back(item.as_string()->get());
 	}
 	return outcome::success();
 }
 
-/** Store \a node where \a field says. */
+/** Check the type of \a node and store its value. */
 static Result<void> StoreValue(const SettingField &field, const toml::node &node, const std::string &file)
 {
 	if (auto text = std::get_if<std::string *>(&field.pointer)) return StoreText(field, node, file, *text);
@@ -69,7 +69,7 @@
 		if (!node.is_number()) return SettingError(file, node, field.key, "must be a number");
 		return StoreNumber(field, node, file, *node.value<double>(), *real);
 	}
-	if (!node.is_integer()) return SettingError(file, node, field.key, "must be a whole number");
+	if (!node.is_integer()) return SettingError(file, node, field.key, "must be an integer");
 	auto number = static_cast<double>(node.as_integer()->get());
 	if (auto whole = std::get_if<int64_t *>(&field.pointer)) return StoreNumber(field, node, file, number, *whole);
 	if (auto size = std::get_if<size_t *>(&field.pointer)) return StoreNumber(field, node, file, number, *size);
@@ -79,7 +79,7 @@
 	return outcome::success();
 }
 
-/** Check that every key of \a document is described. */
+/** Fail if \a document has a table or key that is no setting. */
 static Result<void> RejectUnknown(const toml::table &document, const std::vector<SettingField> &fields, const std::string &file)
 {
 	for (const auto &[table_name, table] : document) {
@@ -93,7 +93,7 @@
 	return outcome::success();
 }
 
-/** Checks that span several settings. */
+/** Check rules that involve several settings, and the format of strings. */
 static Result<void> CheckTogether(const Settings &settings, const std::string &file)
 {
 	if (settings.member_timeout < 2 * settings.heartbeat) {
--- a/src/settings/settings_type.h
+++ b/src/settings/settings_type.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file settings_type.h Settings of one instance, as read from its TOML file. */
+/** @file settings_type.h Settings of an instance, read from its TOML file. */
 
 #pragma once
 
@@ -11,81 +11,81 @@
 
 namespace cottonspool {
 
-/** Limits of calls to targets. */
+/** Timeouts and limits of calls to targets. */
 struct CallLimits {
-	Duration connect = std::chrono::milliseconds(500); ///< Longest time to connect.
-	Duration first_byte = std::chrono::seconds(60);    ///< Longest time from sending to the head of the answer.
-	Duration stall = std::chrono::seconds(3);          ///< Silence in a stream after which the link is given up and resumed.
-	Duration resume = std::chrono::seconds(8);         ///< Longest time spent on resuming one generation.
-	Duration service = std::chrono::seconds(10);       ///< Longest time of a service call.
-	int64_t max_service_answer_bytes = 8LL << 20;      ///< Largest answer of a service.
+	Duration connect = std::chrono::milliseconds(500); ///< Timeout for establishing a connection.
+	Duration first_byte = std::chrono::seconds(60);    ///< Timeout from sending to the head of the answer.
+	Duration stall = std::chrono::seconds(3);          ///< Longest time without data before a stream is reconnected and resumed.
+	Duration resume = std::chrono::seconds(8);         ///< Longest time spent on resuming a generation.
+	Duration service = std::chrono::seconds(10);       ///< Timeout of a service call.
+	int64_t max_service_answer_bytes = 8LL << 20;      ///< Largest answer of a service, in bytes.
 };
 
-/** All settings of one instance. */
+/** All settings of an instance; DescribeSettings() has their names in the file. */
 struct Settings {
-	std::string name;                                    ///< Name of the instance, unique in the system.
-	std::string hall;                                    ///< Data hall it stands in.
-	std::string ip = "127.0.0.1";                        ///< Address to listen on and to be reached at.
+	std::string name;                                    ///< Unique name of the instance.
+	std::string hall;                                    ///< Data hall of the instance.
+	std::string ip = "127.0.0.1";                        ///< IPv4 address to listen on, which others use to connect.
 	int64_t http_port = 8080;                            ///< Port for callers and operators.
-	int64_t peer_port = 8081;                            ///< Port for other instances.
-	std::vector<std::string> seeds;                      ///< Peer addresses to begin with.
-	Duration heartbeat = std::chrono::milliseconds(500); ///< Time between heartbeats.
-	int64_t peer_bytes_per_second = 2500;                ///< Most that heartbeats may cost on all links together.
-	Duration member_timeout = std::chrono::seconds(4);   ///< Silence after which a member counts as gone.
-	std::string platform_url;                            ///< Base of the platform's table, objects and instance list.
-	Duration platform_call = std::chrono::seconds(2);    ///< Deadline of one platform call.
-	Duration head_poll = std::chrono::seconds(2);        ///< Time between looks for newer configuration.
-	Duration list_poll = std::chrono::seconds(2);        ///< Time between looks at the instance list.
+	int64_t peer_port = 8081;                            ///< Port for peers.
+	std::vector<std::string> seeds;                      ///< Addresses of the first peers; gossip yields the others.
+	Duration heartbeat = std::chrono::milliseconds(500); ///< Least interval between heartbeats.
+	int64_t peer_bytes_per_second = 2500; ///< Bandwidth limit of heartbeats over all connections; a larger system sends them less often.
+	Duration member_timeout = std::chrono::seconds(4); ///< Least time without heartbeats after which a peer counts as failed.
+	std::string platform_url;                          ///< Base URL of the platform's table, objects and instance list.
+	Duration platform_call = std::chrono::seconds(2);  ///< Timeout of a call to the platform.
+	Duration head_poll = std::chrono::seconds(2);      ///< Interval of polls for newer configuration.
+	Duration list_poll = std::chrono::seconds(2);      ///< Interval of polls of the instance list.
 	Duration configuration_stale =
-	        std::chrono::seconds(10);         ///< Age of the last confirmation from which on calls that must not be repeated are refused.
-	int64_t snapshot_every = 64;              ///< Entries between snapshots of the configuration.
-	Duration lease = std::chrono::seconds(6); ///< Length of the hall's lease for orders.
-	Duration report_poll = std::chrono::milliseconds(300); ///< Time between load reports asked of each target.
-	int64_t targets_watched = 24;    ///< Targets per model that this instance uses; more are shared out among instances.
-	std::string operator_key_sha256; ///< SHA-256 of the operators' key, in hexadecimal.
-	HttpLimits http;                 ///< Limits on callers.
+	        std::chrono::seconds(10);         ///< Age of the last confirmation above which calls that must not be repeated are rejected.
+	int64_t snapshot_every = 64;              ///< Number of entries between snapshots of the configuration.
+	Duration lease = std::chrono::seconds(6); ///< Duration of the hall's lease for orders.
+	Duration report_poll = std::chrono::milliseconds(300); ///< Interval of load report polls of each target.
+	int64_t targets_watched = 24;    ///< Most targets per model that this instance uses; a larger set is divided among the instances.
+	std::string operator_key_sha256; ///< SHA-256 of the operators' key, as hexadecimal digits.
+	HttpLimits http;                 ///< Limits on callers' requests and connections.
 	CallLimits call;                 ///< Limits of calls to targets.
-	DispatchLimits dispatch;         ///< Decisions.
-	std::string router = "headroom"; ///< Choice of a target.
-	Duration interactive_wait = std::chrono::seconds(10); ///< Longest wait of an interactive call before it is sent.
-	Duration stream_wait = std::chrono::seconds(30);      ///< Longest wait of a stream call.
-	Duration background_wait = std::chrono::seconds(120); ///< Longest wait of a background call.
-	Duration stop_notice = std::chrono::seconds(3);       ///< Time between failing readiness and taking no more connections.
-	Duration stop_limit = std::chrono::minutes(10);       ///< Longest time to finish what is in flight when stopping.
-	int64_t account_series = 64;                          ///< Accounts with metrics of their own; the others share one.
-	int64_t explain_calls = 4096;                         ///< Finished calls remembered for `explain`.
-	std::string log_level = "info";                       ///< Least severe level that is logged.
-	std::string log_form = "text";                        ///< "text" (key=value) or "json".
+	DispatchLimits dispatch;         ///< Admission, queueing and retries.
+	std::string router = "headroom"; ///< Routing policy.
+	Duration interactive_wait = std::chrono::seconds(10); ///< Longest queueing time of an interactive call.
+	Duration stream_wait = std::chrono::seconds(30);      ///< Longest queueing time of a stream call.
+	Duration background_wait = std::chrono::seconds(120); ///< Longest queueing time of a background call.
+	Duration stop_notice = std::chrono::seconds(3);       ///< Time from failing the readiness probe to closing the listener.
+	Duration stop_limit = std::chrono::minutes(10);       ///< Longest time to finish open calls when stopping.
+	int64_t account_series = 64;                          ///< Most accounts with metrics of their own; all others share one series.
+	int64_t explain_calls = 4096;                         ///< Calls whose traces are kept for `explain`.
+	std::string log_level = "info";                       ///< Least severe level that is logged: "debug", "info", "warning" or "error".
+	std::string log_form = "text";                        ///< Format of a log line: "text" (key=value) or "json".
 };
 
-/** Where a setting is kept. */
+/** Pointer to the member that holds a setting. */
 using SettingPointer = std::variant<std::string *, int64_t *, double *, bool *, Duration *, size_t *, std::vector<std::string> *>;
 
-/** Description of one setting: the single source of the parser's checks and of docs/SETTINGS.md. */
+/** Description of one setting, from which the parser's checks and docs/SETTINGS.md are derived. */
 struct SettingField {
-	std::string key;                  ///< "table.key"; times end in "_ms" and are whole milliseconds.
-	SettingPointer pointer;           ///< Where the value goes.
-	std::string doc;                  ///< What it is for.
-	double least = 0;                 ///< Least number allowed.
-	double most = 1e15;               ///< Largest number allowed.
-	std::vector<std::string> choices; ///< Texts allowed; empty means any.
-	bool required = false;            ///< Must be in the file.
+	std::string key;                  ///< "table.key"; durations end in "_ms" and are integers.
+	SettingPointer pointer;           ///< Member that holds the value.
+	std::string doc;                  ///< Description for the reference.
+	double least = 0;                 ///< Smallest allowed number.
+	double most = 1e15;               ///< Largest allowed number.
+	std::vector<std::string> choices; ///< Allowed strings; empty allows any.
+	bool required = false;            ///< The setting must be present in the file.
 };
 
-/** @return A description of every setting, pointing into \a settings. */
+/** @return The descriptions of all settings, with pointers into \a settings. */
 std::vector<SettingField> DescribeSettings(Settings &settings);
 
 /**
- * Read settings from TOML \a text.
- * @param file Name used in errors.
- * @return The settings, or an error naming file, line, key and what is allowed.
+ * Parse and validate settings in TOML.
+ * @param file File name for errors.
+ * @return The settings, or an error with file, line, key and allowed values.
  */
 Result<Settings> ParseSettings(std::string_view text, const std::string &file);
 
-/** Read settings from the file at \a path. */
+/** Load settings from the file \a path. */
 Result<Settings> LoadSettings(const std::string &path);
 
-/** @return docs/SETTINGS.md, made from DescribeSettings(). */
+/** @return The content of docs/SETTINGS.md. */
 std::string SettingsReference();
 
 } // namespace cottonspool
--- a/src/settings/toml_guard.cpp
+++ b/src/settings/toml_guard.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file toml_guard.cpp Keeps text away from toml++ that it cannot take. */
+/** @file toml_guard.cpp TOML parser for untrusted input, using toml++. */
 
 #include "settings/toml_guard.h"
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace cottonspool {
 
-/** @return The length of the quoted text that begins \a text, with its end mark; 0 when it has none. */
+/** @return The length of the string literal at the start of \a text, including both quotes; 0 if it is not terminated. */
 static size_t QuotedLength(std::string_view text)
 {
 	char mark = text[0];
@@ -25,7 +25,7 @@
 	return 0;
 }
 
-/** @return Whether the table header that begins \a text goes on with something that can begin a name. */
+/** @return Whether the table header at the start of \a text is followed by the first character of a name. */
 static bool HeaderNames(std::string_view text)
 {
 	size_t at = text.find_first_not_of(" \t", text.starts_with("[[") ? 2 : 1);
@@ -36,36 +36,36 @@
 
 namespace {
 
-/** Follows the brackets of a text outside quotes and comments. */
+/** Checks that brackets outside of strings and comments are balanced, and that table headers have a name. */
 class BracketCheck {
 public:
-	/** Take in the text at \a rest, whose first character is neither quoted nor in a comment. @return What is wrong; null for nothing. */
+	/** Process the first character of \a rest, which is outside of strings and comments. @return Error message; null for none. */
 	const char *Take(std::string_view rest)
 	{
 		char c = rest[0];
 		bool header = c == '[' && this->begins_line && this->open.empty();
 		this->begins_line = c == '\n' || (this->begins_line && (c == ' ' || c == '\t'));
 		this->in_header = header || (this->in_header && c != '\n');
-		if (header) return HeaderNames(rest) ? nullptr : "a table has no name";
+		if (header) return HeaderNames(rest) ? nullptr : "a table header has no name";
 		if (this->in_header && this->open.empty() && (c == '[' || c == ']')) return nullptr;
 		if (c == '[' || c == '{') this->open.push_back(c);
 		if (c != ']' && c != '}') return nullptr;
 		char wanted = c == '}' ? '{' : '[';
-		if (this->open.empty() || this->open.back() != wanted) return "a bracket closes nothing";
+		if (this->open.empty() || this->open.back() != wanted) return "unmatched closing bracket";
 		this->open.pop_back();
 		return nullptr;
 	}
 
-	/** Something quoted, or a comment, was passed over. */
+	/** Record that a string or comment was skipped. */
 	void Skip() { this->begins_line = false; }
 
-	/** @return Whether some are open. */
+	/** @return Whether any bracket is unclosed. */
 	bool AnyOpen() const { return !this->open.empty(); }
 
 private:
-	std::string open;        ///< Arrays and tables in values that are open.
-	bool begins_line = true; ///< Nothing but blanks so far in this line.
-	bool in_header = false;  ///< This line is a table's header, with brackets of its own.
+	std::string open;        ///< Unclosed brackets, innermost last.
+	bool begins_line = true; ///< Only blanks so far in this line.
+	bool in_header = false;  ///< This line is a table header, whose brackets are not tracked.
 };
 
 } // namespace
@@ -79,7 +79,7 @@
 		size_t skipped = 0;
 		bool quoted = text[i] == '"' || text[i] == '\'';
 		if (quoted) skipped = QuotedLength(text.substr(i));
-		if (quoted && skipped == 0) return fault("a quote is not closed");
+		if (quoted && skipped == 0) return fault("unterminated string");
 		if (text[i] == '#') skipped = std::min(text.find('\n', i), text.size()) - i;
 		if (skipped > 0) {
 			std::string_view passed = text.substr(i, skipped);
@@ -90,16 +90,16 @@
 		}
 		if (const char *wrong = brackets.Take(text.substr(i))) return fault(wrong);
 		if (text[i] == '\n') line++;
-		if (static_cast<unsigned char>(text[i]) >= 0x80) return fault("letters beyond ASCII are allowed only inside quotes and comments");
+		if (static_cast<unsigned char>(text[i]) >= 0x80) return fault("non-ASCII characters are allowed only in strings and comments");
 	}
-	if (brackets.AnyOpen()) return fault("a bracket is not closed");
+	if (brackets.AnyOpen()) return fault("unclosed bracket");
 	return outcome::success();
 }
 
 Result<toml::table> ParseToml(std::string_view text, const std::string &file)
 {
 	BOOST_OUTCOME_TRYV(CheckPlainToml(text, file));
-	// What toml++ does wrong, it does where it reports a fault beside letters beyond ASCII: it sees them once there is no fault.
+	// toml++ has undefined behaviour when it reports an error near non-ASCII characters. Thus parse a copy without them first.
 	std::string plain(text);
 	for (char &c : plain) {
 		if (static_cast<unsigned char>(c) >= 0x80) c = 'x';
--- a/src/settings/toml_guard.h
+++ b/src/settings/toml_guard.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file toml_guard.h Keeps text away from toml++ that it cannot take. */
+/** @file toml_guard.h TOML parser for untrusted input, using toml++. */
 
 #pragma once
 
@@ -11,14 +11,13 @@
 namespace cottonspool {
 
 /**
- * Check that \a text has letters beyond ASCII only inside quotes and comments, that quotes and brackets are closed, and that each table
- * header begins with a name. TOML allows nothing else, and toml++ 3.3 runs into undefined behaviour on some of it instead of reporting an
- * error.
- * @param file Name used in the error, which carries the line.
+ * Check that \a text has non-ASCII characters only in strings and comments, that quotes and brackets are balanced, and that each table
+ * header has a name. TOML requires all of this, but toml++ 3.3 has undefined behaviour on some violations instead of reporting them.
+ * @param file File name for the error, which also has the line.
  */
 Result<void> CheckPlainToml(std::string_view text, const std::string &file);
 
-/** Read \a text, which may be anything. @param file Name used in the error, which carries the line. */
+/** Parse \a text, which may be malformed in any way. @param file File name for the error, which also has the line. */
 Result<toml::table> ParseToml(std::string_view text, const std::string &file);
 
 } // namespace cottonspool
--- a/tests/runner/http.cpp
+++ b/tests/runner/http.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http.cpp HTTP calls of a scenario, one thread each. */
+/** @file http.cpp HTTP calls of scenarios, each in its own thread. */
 
 #include "runner_func.h"
 #include <chrono>
@@ -16,25 +16,26 @@
 
 namespace cottonspool {
 
-/** One call and its answer. */
+/** An HTTP call and its answer. */
 struct ScenarioCall {
-	std::string method, url, body;                   ///< Request.
+	std::string method, url, body;                   ///< Request line and body.
 	std::vector<std::string> headers;                ///< Request headers.
-	long limit_ms = 30000;                           ///< Longest time.
-	size_t abort_after = SIZE_MAX;                   ///< Bytes of the answer after which the caller goes away.
-	long slow_ms = 0;                                ///< Pause after each part of the answer.
-	long status = 0;                                 ///< Answer's status; 0 when there was none.
-	std::string answer, head, error;                 ///< Answer.
-	double seconds = 0;                              ///< Time taken.
+	long limit_ms = 30000;                           ///< Timeout of the call.
+	size_t abort_after = SIZE_MAX;                   ///< Number of body bytes after which the call is aborted.
+	long slow_ms = 0;                                ///< Delay after each received part, to simulate a slow reader.
+	long status = 0;                                 ///< HTTP status; 0 without an answer.
+	std::string answer, head, error;                 ///< Answer body, answer headers, and libcurl's error.
+	double seconds = 0;                              ///< Duration of the call.
 	double first_seconds = 0;                        ///< Time to the first byte.
-	double longest_gap = 0;                          ///< Longest time between two parts of the answer.
-	std::chrono::steady_clock::time_point last_part; ///< When the last part came.
-	std::thread thread;                              ///< Thread that makes it.
+	double longest_gap = 0;                          ///< Longest time between two received parts.
+	std::chrono::steady_clock::time_point last_part; ///< Time of the last received part.
+	std::thread thread;                              ///< Thread that performs the call.
 };
 
-static std::map<lua_Integer, std::unique_ptr<ScenarioCall>> calls;
-static lua_Integer next_call = 1;
+static std::map<lua_Integer, std::unique_ptr<ScenarioCall>> calls; ///< Calls not yet waited for, by number.
+static lua_Integer next_call = 1;                                  ///< Number of the next call.
 
+/** libcurl callback: a part of the body was received. */
 static size_t OnBody(char *data, size_t size, size_t count, void *user)
 {
 	auto *call = static_cast<ScenarioCall *>(user);
@@ -47,12 +48,14 @@
 	return call->answer.size() >= call->abort_after ? 0 : size * count;
 }
 
+/** libcurl callback: a header line was received. */
 static size_t OnHead(char *data, size_t size, size_t count, void *user)
 {
 	static_cast<ScenarioCall *>(user)->head.append(data, size * count);
 	return size * count;
 }
 
+/** Perform \a call; runs in its thread. */
 static void Perform(ScenarioCall *call)
 {
 	CURL *easy = curl_easy_init();
@@ -78,7 +81,7 @@
 	curl_easy_cleanup(easy);
 }
 
-/** Read the field \a key of the table on top into a text. */
+/** @return The string field \a key of the argument table, or \a otherwise. */
 static std::string TextField(lua_State *lua, const char *key, const char *otherwise)
 {
 	lua_getfield(lua, 1, key);
@@ -87,6 +90,7 @@
 	return text;
 }
 
+/** @return The number field \a key of the argument table, or \a otherwise. */
 static long NumberField(lua_State *lua, const char *key, long otherwise)
 {
 	lua_getfield(lua, 1, key);
@@ -95,7 +99,7 @@
 	return number;
 }
 
-/** http_start{method=, url=, headers={"a: b"}, body=, limit_ms=, abort_after=, slow_ms=}: begins a call; returns its number. */
+/** http_start{method=, url=, headers={"a: b"}, body=, limit_ms=, abort_after=, slow_ms=}: starts a call and returns its number. */
 static int HttpStart(lua_State *lua)
 {
 	auto call = std::make_unique<ScenarioCall>();
@@ -118,7 +122,7 @@
 	return 1;
 }
 
-/** http_wait(number): {status=, body=, head=, error=, seconds=, first=, gap=} */
+/** http_wait(number): waits for a call and returns {status=, body=, head=, error=, seconds=, first=, gap=}. */
 static int HttpWait(lua_State *lua)
 {
 	auto found = calls.find(luaL_checkinteger(lua, 1));
@@ -141,6 +145,7 @@
 	return 1;
 }
 
+/** Push \a value as a Lua value. */
 static void PushJson(lua_State *lua, const nlohmann::json &value)
 {
 	if (value.is_object()) {
@@ -168,14 +173,14 @@
 	}
 }
 
-/** json(text): the value, or nil. */
+/** json(text): returns the parsed value, or nil if it is malformed. */
 static int ParseJson(lua_State *lua)
 {
 	PushJson(lua, nlohmann::json::parse(luaL_checkstring(lua, 1), nullptr, false));
 	return 1;
 }
 
-/** raw_call(port, bytes, limit_ms): sends bytes to 127.0.0.1; what came back, and whether the other side closed. */
+/** raw_call(port, bytes, limit_ms): sends bytes to 127.0.0.1; returns the received bytes and whether the peer closed the connection. */
 static int RawCall(lua_State *lua)
 {
 	size_t size = 0;
--- a/tests/runner/main.cpp
+++ b/tests/runner/main.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file main.cpp Runs one scenario: a Lua script over real processes. */
+/** @file main.cpp Scenario runner: runs a Lua script that tests real processes. */
 
 #include "runner_func.h"
 #include <csignal>
@@ -9,10 +9,10 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_string(bin, "build", "folder with the programs");
+DEFINE_string(bin, "build", "directory with the programs");
 DEFINE_uint64(seed, 1, "seed of the scenario's random numbers");
-DEFINE_double(scale, 1, "factor on the length of scenarios that are as long as one likes");
-DEFINE_bool(keep, false, "keep the folder with the logs");
+DEFINE_double(scale, 1, "factor on the duration of scenarios with a variable duration");
+DEFINE_bool(keep, false, "keep the directory with the logs");
 
 int main(int argc, char **argv)
 {
--- a/tests/runner/processes.cpp
+++ b/tests/runner/processes.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file processes.cpp Processes of a scenario. */
+/** @file processes.cpp Processes of scenarios. */
 
 #include "runner_func.h"
 #include <chrono>
@@ -20,22 +20,23 @@
 
 namespace cottonspool {
 
-/** One spawned process. */
+/** A spawned process. */
 struct Process {
-	pid_t pid = 0;       ///< Its id.
-	bool running = true; ///< Not yet reaped.
-	int code = -1;       ///< Exit code, or minus the signal.
+	pid_t pid = 0;       ///< Process id.
+	bool running = true; ///< It was not reaped yet.
+	int code = -1;       ///< Exit code, or the negative number of the signal that ended it.
 };
 
-static std::map<std::string, Process> processes;
-static std::string log_dir;
+static std::map<std::string, Process> processes; ///< Spawned processes by name.
+static std::string log_dir;                      ///< Directory for logs and files.
 
+/** @return The path of the log of process \a name. */
 static std::string LogPath(const std::string &name)
 {
 	return log_dir + "/" + name + ".log";
 }
 
-/** spawn(name, {program, argument, ...}): starts a process whose output goes to its log. */
+/** spawn(name, {program, argument, ...}): starts a process with its output in a log, and returns its id. */
 static int Spawn(lua_State *lua)
 {
 	std::string name = luaL_checkstring(lua, 1);
@@ -61,7 +62,7 @@
 	return 1;
 }
 
-/** Reap \a process if it has ended. */
+/** Reap \a process if it has ended. @param block Wait until it ends. */
 static void Reap(Process &process, bool block)
 {
 	int status = 0;
@@ -70,7 +71,7 @@
 	process.code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
-/** signal(name, "TERM"|"KILL"|"STOP"|"CONT"|"HUP") */
+/** signal(name, "TERM"|"KILL"|"STOP"|"CONT"|"HUP"): sends a signal to a process, if it still runs. */
 static int SendSignal(lua_State *lua)
 {
 	static const std::map<std::string, int> signals{
@@ -83,7 +84,7 @@
 	return 0;
 }
 
-/** wait_exit(name, limit_ms): exit code, minus a signal, or nil when it still runs. */
+/** wait_exit(name, limit_ms): returns the exit code, the negative number of a signal, or nil if the process still runs. */
 static int WaitExit(lua_State *lua)
 {
 	auto found = processes.find(luaL_checkstring(lua, 1));
@@ -99,7 +100,7 @@
 	return 1;
 }
 
-/** output(name): everything the process has written. */
+/** output(name): returns everything that the process has written. */
 static int Output(lua_State *lua)
 {
 	std::ifstream in(LogPath(luaL_checkstring(lua, 1)));
@@ -109,12 +110,14 @@
 	return 1;
 }
 
+/** sleep_ms(ms): sleeps. */
 static int SleepMs(lua_State *lua)
 {
 	std::this_thread::sleep_for(std::chrono::milliseconds(static_cast<int64_t>(luaL_checknumber(lua, 1))));
 	return 0;
 }
 
+/** now_ms(): returns the monotonic clock in milliseconds. */
 static int NowMs(lua_State *lua)
 {
 	auto now = std::chrono::steady_clock::now().time_since_epoch();
@@ -122,7 +125,7 @@
 	return 1;
 }
 
-/** write_file(name, text): writes into the scenario's folder and returns the path. */
+/** write_file(name, text): writes a file into the scenario's directory and returns its path. */
 static int WriteFile(lua_State *lua)
 {
 	std::string path = log_dir + "/" + luaL_checkstring(lua, 1);
@@ -131,6 +134,7 @@
 	return 1;
 }
 
+/** sha256(text): returns the digest as hexadecimal digits. */
 static int Sha256(lua_State *lua)
 {
 	size_t size = 0;
--- a/tests/runner/runner_func.h
+++ b/tests/runner/runner_func.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file runner_func.h What scenarios can do: processes and HTTP calls. */
+/** @file runner_func.h Lua functions for scenarios: processes and HTTP calls. */
 
 #pragma once
 
@@ -9,19 +9,19 @@
 
 namespace cottonspool {
 
-/** Give scenarios spawn, signal, wait_exit, output, sleep_ms, now_ms, write_file and sha256. */
+/** Register spawn, signal, wait_exit, output, sleep_ms, now_ms, write_file and sha256. @param dir Directory for logs and files. */
 void RegisterProcesses(lua_State *lua, const std::string &dir);
 
-/** Give scenarios http, http_start, http_wait and json. */
+/** Register http_start, http_wait, json and raw_call. */
 void RegisterHttp(lua_State *lua);
 
-/** Kill every process that was spawned and is still there. */
+/** Kill and reap all spawned processes that still run. */
 void EndProcesses();
 
-/** Wait for the calls that nobody has waited for; every process must have ended before. */
+/** Join the threads of open calls. All processes have to be ended before, so that the calls end. */
 void EndCalls();
 
-/** Print the last lines of every log in \a dir. */
+/** Print the last lines of all logs in \a dir. */
 void PrintLogs(const std::string &dir);
 
 } // namespace cottonspool
--- a/tests/standins/callers.cpp
+++ b/tests/standins/callers.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file callers.cpp Callers on the users' platform: they keep connections open, and check each answer as it comes. */
+/** @file callers.cpp Load generator for the users' platform, which verifies each answer. */
 
 #include "net/http_upstream.h"
 #include "standin_func.h"
@@ -11,37 +11,37 @@
 #include <pcg_random.hpp>
 #include <random>
 
-DEFINE_uint64(seed, 1, "callers: seed of what is asked");
-DEFINE_int32(per_second, 40, "callers: requests begun in a second");
+DEFINE_uint64(seed, 1, "callers: seed of the random requests");
+DEFINE_int32(per_second, 40, "callers: requests started per second");
 DEFINE_int32(most_events, 150, "callers: longest stream, in events");
 
 namespace cottonspool {
 
-static constexpr uint64_t PACE_MS = 10;         ///< Time between looks at what is due.
-static constexpr int TOKENS_PER_EVENT = 4;      ///< As the stand-in's engines are configured.
-static constexpr int64_t LIMIT_MS = 15000;      ///< Time limit of a stream.
-static constexpr int64_t PLAIN_LIMIT_MS = 2000; ///< Time limit of a plain call.
-static constexpr double LEAVE_PART = 0.04;      ///< Part of the callers who leave before their answer is whole.
+static constexpr uint64_t PACE_MS = 10;         ///< Interval of the timer that starts requests.
+static constexpr int TOKENS_PER_EVENT = 4;      ///< Tokens per event of the simulated engines.
+static constexpr int64_t LIMIT_MS = 15000;      ///< Deadline of a stream.
+static constexpr int64_t PLAIN_LIMIT_MS = 2000; ///< Deadline of a request without a stream.
+static constexpr double LEAVE_PART = 0.04;      ///< Fraction of callers that disconnect before the answer is complete.
 
-/** One request on its way. */
+/** An open request. */
 struct Asked {
-	std::string id;           ///< Its id; begins with the instance's name.
-	std::string instance;     ///< Instance asked.
-	char kind = 'r';          ///< 's' stream, 'o' once, 'r' repeatable.
-	int64_t began = 0;        ///< When.
-	int64_t leaves_at = 0;    ///< When the caller leaves; 0 for never.
-	uint64_t call = 0;        ///< Call under way.
-	int status = 0;           ///< Status; 0 while there is none.
-	bool stamped = false;     ///< The answer bears a target's stamp.
-	std::string body;         ///< Body so far; of a stream what is not yet a whole event.
-	uint64_t events = 0;      ///< Events seen, in order.
-	uint64_t length = 0;      ///< Events that the stream has.
-	std::string fault;        ///< Broken promise seen in the answer.
-	bool retry_after = false; ///< It was told when to come back.
-	int64_t last_at = 0;      ///< When the last bytes came.
+	std::string id;           ///< Request id, which starts with the instance's name.
+	std::string instance;     ///< Name of the instance.
+	char kind = 'r';          ///< Route: 's' stream, 'o' at most once, 'r' repeatable.
+	int64_t began = 0;        ///< Start time, in milliseconds.
+	int64_t leaves_at = 0;    ///< When the caller disconnects; 0 for never.
+	uint64_t call = 0;        ///< Upstream call.
+	int status = 0;           ///< HTTP status; 0 before the answer's head.
+	bool stamped = false;     ///< The answer has the stamp of a target.
+	std::string body;         ///< Received body; for a stream only the incomplete last event.
+	uint64_t events = 0;      ///< Number of received events.
+	uint64_t length = 0;      ///< Expected number of events.
+	std::string fault;        ///< Violation found in the answer; empty for none.
+	bool retry_after = false; ///< The answer has a Retry-After header.
+	int64_t last_at = 0;      ///< When data was last received.
 };
 
-/** All callers. */
+/** The load generator. */
 class Callers {
 public:
 	explicit Callers(uv_loop_t *loop) : upstream(loop), random(FLAGS_seed)
@@ -49,7 +49,8 @@
 		Every(loop, PACE_MS, [this] { this->Pace(); });
 	}
 
-	/** Answer the scenario: {"instances": {NAME: IP:PORT}} sets whom to ask; "/take" tells what has ended since the last time. */
+	/** Handle a request of the scenario: {"instances": {NAME: IP:PORT}} sets the instances; "/take" returns requests that ended since the
+	 * last one. */
 	void Handle(const std::shared_ptr<HttpExchange> &exchange)
 	{
 		if (exchange->request.path == "/take") {
@@ -125,9 +126,9 @@
 		each.stamped = !FindHeader(head.headers, "X-Server-Stamp").empty();
 		each.retry_after = !FindHeader(head.headers, "Retry-After").empty();
 		each.last_at = NowMs();
-		if (head.status == 200 && !each.stamped) each.fault = "a success without a target's stamp";
+		if (head.status == 200 && !each.stamped) each.fault = "200 without a target's stamp";
 		std::string_view told = FindHeader(head.headers, "X-Attempt-Id");
-		if (!told.empty() && told != each.id) each.fault = "the answer of " + std::string(told);
+		if (!told.empty() && told != each.id) each.fault = "answer to the request " + std::string(told);
 	}
 
 	void OnBody(Asked &each, std::string_view bytes)
@@ -177,14 +178,14 @@
 		this->asked.erase(each);
 	}
 
-	HttpUpstream upstream;                        ///< Connections, kept until the instance is gone.
-	pcg64 random;                                 ///< What is asked.
-	std::map<std::string, std::string> instances; ///< Whom to ask.
-	std::list<Asked> asked;                       ///< Requests on their way.
-	Json ended = Json::array();                   ///< Ended since the scenario last asked.
-	double due = 0;                               ///< Requests that are due.
-	uint64_t last = 0;                            ///< Number of the last request.
-	bool active = true;                           ///< New requests are begun.
+	HttpUpstream upstream;                        ///< Client with persistent connections to the instances.
+	pcg64 random;                                 ///< Random numbers of the requests.
+	std::map<std::string, std::string> instances; ///< Addresses of the instances by name.
+	std::list<Asked> asked;                       ///< Open requests.
+	Json ended = Json::array();                   ///< Requests that ended since the last "/take".
+	double due = 0;                               ///< Number of requests to start, with its fraction.
+	uint64_t last = 0;                            ///< Counter for request ids.
+	bool active = true;                           ///< New requests are started.
 };
 
 int RunCallers(uv_loop_t *loop)
--- a/tests/standins/clock_shift.cpp
+++ b/tests/standins/clock_shift.cpp
@@ -1,17 +1,17 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file clock_shift.cpp A wall clock that tests can set: loaded before the C library into a program under test. */
+/** @file clock_shift.cpp Library for LD_PRELOAD that shifts the clocks of a program under test. */
 
 #include <cstdio>
 #include <cstdlib>
 #include <ctime>
 #include <dlfcn.h>
 
-static constexpr long MS_PER_S = 1000;       ///< Milliseconds in a second.
-static constexpr long NS_PER_MS = 1000000;   ///< Nanoseconds in a millisecond.
-static constexpr long NS_PER_S = 1000000000; ///< Nanoseconds in a second.
+static constexpr long MS_PER_S = 1000;
+static constexpr long NS_PER_MS = 1000000;
+static constexpr long NS_PER_S = 1000000000;
 
-/** @return By how many milliseconds the file that the variable \a name names shifts a clock. */
+/** @return The number in the file whose path is in the environment variable \a name; 0 without one. */
 static long Shift(const char *name)
 {
 	const char *path = getenv(name);
@@ -24,8 +24,8 @@
 }
 
 /**
- * Takes the C library's place: the time of day is shifted, and the clock that counts suspension goes on by the time for which the machine
- * is said to have been suspended. The steady clock and timers stand still meanwhile, as they do on a machine that is.
+ * Replaces the function of the C library. CLOCK_REALTIME is shifted by both variables, and CLOCK_BOOTTIME by the simulated time of
+ * suspension. CLOCK_MONOTONIC and timers are not shifted, as they do not count suspension on a real machine either.
  */
 extern "C" int clock_gettime(clockid_t clock, struct timespec *time)
 {
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file engine.cpp Engine stand-in: continuous batching, limited memory, preemption, resume, cancel, reports, orders. */
+/** @file engine.cpp Stand-in for a model engine: batching, preemption, resume, cancellation, load reports and orders. */
 
 #include "core/hash_func.h"
 #include "engine_base.h"
@@ -10,18 +10,18 @@
 
 DEFINE_string(name, "engine", "name of the engine");
 DEFINE_string(models, "small", "models loaded at the start, separated by commas");
-DEFINE_uint64(memory_tokens, 20000, "memory for tokens");
+DEFINE_uint64(memory_tokens, 20000, "memory size, in tokens");
 DEFINE_uint64(max_batch, 64, "most generations decoded at once");
-DEFINE_double(step_ms, 10, "time of one decoding step");
-DEFINE_double(step_us_per_call, 50, "further time of a step for each generation in it");
-DEFINE_int64(report_lag_ms, 300, "age of the reports given out");
-DEFINE_bool(check_fences, true, "refuse orders with an old fence");
-DEFINE_int64(orphan_ms, 10000, "time after which a generation that nobody listens to is dropped");
-DEFINE_uint64(max_waiting, 100000, "most generations waiting; more are refused");
+DEFINE_double(step_ms, 10, "duration of one decoding step, in milliseconds");
+DEFINE_double(step_us_per_call, 50, "additional duration of a step for each generation in it, in microseconds");
+DEFINE_int64(report_lag_ms, 300, "age of the reports given out, in milliseconds");
+DEFINE_bool(check_fences, true, "reject orders with an outdated fencing token");
+DEFINE_int64(orphan_ms, 10000, "time after which a generation without a listener is dropped, in milliseconds");
+DEFINE_uint64(max_waiting, 100000, "most waiting generations; more are rejected");
 
 namespace cottonspool {
 
-static constexpr size_t MAX_PREFIXES = 64;
+static constexpr size_t MAX_PREFIXES = 64; ///< Most cached prefixes.
 
 EngineStandin::EngineStandin(uv_loop_t *loop)
     : loop(loop), incarnation(FLAGS_name + "-" + std::to_string(getpid()) + "-" + std::to_string(NowMs()))
@@ -101,7 +101,7 @@
 	            {"incarnation", this->incarnation}};
 }
 
-/** @return The number after \a key in \a text, or \a otherwise. */
+/** @return The number that follows \a key in \a text, or \a otherwise. */
 static uint64_t NumberAfter(const std::string &text, const std::string &key, uint64_t otherwise)
 {
 	size_t found = text.find(key);
@@ -115,7 +115,7 @@
 	std::string id(FindHeader(exchange->request.headers, "Cottonspool-Generation"));
 	if (auto found = this->known.find(id); found != this->known.end()) return this->Attach(found->second, exchange, 0);
 	HttpHeaders not_run{{"Cottonspool-Ran", "no"}};
-	if (this->refused_ids.contains(id)) return Answer(exchange, 409, {{"error", "cancelled before"}}, not_run);
+	if (this->refused_ids.contains(id)) return Answer(exchange, 409, {{"error", "generation was cancelled"}}, not_run);
 	if (!this->models.contains(body.value("model", ""))) return Answer(exchange, 404, {{"error", "model not loaded"}}, not_run);
 	if (this->waiting.size() >= FLAGS_max_waiting) return Answer(exchange, 503, {{"error", "full"}}, not_run);
 	auto generation = std::make_shared<EngineGeneration>();
@@ -257,7 +257,7 @@
 	Json order = Body(*exchange);
 	uint64_t epoch = order.value("epoch", 0ULL);
 	if (FLAGS_check_fences && epoch < this->highest_epoch)
-		return Answer(exchange, 409, {{"error", "old fence"}, {"epoch", this->highest_epoch}});
+		return Answer(exchange, 409, {{"error", "outdated fencing token"}, {"epoch", this->highest_epoch}});
 	this->highest_epoch = std::max(this->highest_epoch, epoch);
 	order["at"] = NowMs();
 	this->orders.push_back(order);
--- a/tests/standins/engine_base.h
+++ b/tests/standins/engine_base.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file engine_base.h State of the engine stand-in. */
+/** @file engine_base.h Stand-in for a model engine. */
 
 #pragma once
 
@@ -12,29 +12,29 @@
 
 namespace cottonspool {
 
-/** One generation at the engine stand-in. */
+/** One generation at the engine. */
 struct EngineGeneration {
-	std::string id;                                                            ///< Name given by the caller.
-	std::string request;                                                       ///< Request it answers, for the record.
-	int priority = 0;                                                          ///< Larger goes first and is preempted last.
-	bool chat = false;                                                         ///< Answer in the chat form.
-	uint64_t prompt = 1;                                                       ///< Prompt tokens.
-	uint64_t length = 1;                                                       ///< Tokens it will generate.
-	uint64_t prefix = 0;                                                       ///< Hash of the prompt's beginning.
-	std::vector<std::string> tokens;                                           ///< Tokens generated so far.
-	bool began = false;                                                        ///< Has been decoded at least once.
-	bool finished = false;                                                     ///< All tokens are there.
-	bool cancelled = false;                                                    ///< Was cancelled.
-	int64_t orphan_since = 0;                                                  ///< Since when nobody listens; 0 while somebody does.
-	std::vector<std::pair<std::shared_ptr<HttpExchange>, uint64_t>> listeners; ///< Streams with the tokens they have.
+	std::string id;                  ///< Id given by the instance.
+	std::string request;             ///< Id of the caller's request, for the record.
+	int priority = 0;                ///< A larger one is admitted first and preempted last.
+	bool chat = false;               ///< Answer in the format of the chat API.
+	uint64_t prompt = 1;             ///< Number of prompt tokens.
+	uint64_t length = 1;             ///< Number of tokens to generate.
+	uint64_t prefix = 0;             ///< Hash of the beginning of the prompt.
+	std::vector<std::string> tokens; ///< Generated tokens.
+	bool began = false;              ///< It was admitted to a batch at least once.
+	bool finished = false;           ///< All tokens were generated.
+	bool cancelled = false;          ///< It was cancelled.
+	int64_t orphan_since = 0;        ///< When the last listener disconnected; 0 while there is one.
+	std::vector<std::pair<std::shared_ptr<HttpExchange>, uint64_t>> listeners; ///< Open streams, each with the number of tokens sent.
 };
 
-/** An engine that batches continuously in limited memory and preempts when it is full. */
+/** An engine with continuous batching and limited memory, which preempts generations when the memory is full. */
 class EngineStandin {
 public:
 	explicit EngineStandin(uv_loop_t *loop);
 
-	/** Answer one request. */
+	/** Handle one request. */
 	void Handle(const std::shared_ptr<HttpExchange> &exchange);
 
 private:
@@ -55,26 +55,26 @@
 	Json MakeReport();
 	Json Record() const;
 
-	uv_loop_t *loop;                              ///< Loop.
-	std::string incarnation;                      ///< Changes with each start.
-	std::map<std::string, GenerationPtr> known;   ///< Generations by name.
-	std::set<std::string> refused_ids;            ///< Cancelled before they came.
-	std::list<GenerationPtr> running;             ///< Being decoded.
-	std::deque<GenerationPtr> waiting;            ///< Accepted, not being decoded.
-	std::deque<std::pair<int64_t, Json>> reports; ///< Reports with the time they were made.
-	uint64_t report_sequence = 0;                 ///< Reports made.
-	uint64_t preemptions = 0;                     ///< Preemptions so far.
-	std::set<std::string> models;                 ///< Models loaded.
+	uv_loop_t *loop;                              ///< Event loop.
+	std::string incarnation;                      ///< Incarnation; changes with each start.
+	std::map<std::string, GenerationPtr> known;   ///< All accepted generations by id.
+	std::set<std::string> refused_ids;            ///< Ids that were cancelled before their request arrived.
+	std::list<GenerationPtr> running;             ///< Generations in the current batch.
+	std::deque<GenerationPtr> waiting;            ///< Accepted or preempted generations outside of the batch.
+	std::deque<std::pair<int64_t, Json>> reports; ///< Recent reports with their times; the oldest is the one given out.
+	uint64_t report_sequence = 0;                 ///< Number of reports made.
+	uint64_t preemptions = 0;                     ///< Number of preemptions.
+	std::set<std::string> models;                 ///< Loaded models.
 	std::string role = "serve";                   ///< Role, set by orders.
-	uint64_t highest_epoch = 0;                   ///< Highest fence seen.
-	Json orders = Json::array();                  ///< Orders carried out.
-	std::deque<uint64_t> prefixes;                ///< Prefixes cached.
-	bool leaving = false;                         ///< Notice given.
-	int64_t leaving_since = 0;                    ///< When notice was given.
-	bool reports_frozen = false;                  ///< Reports no longer change.
-	double slow_factor = 1;                       ///< Factor on the time of a step.
-	int64_t next_step = 0;                        ///< When the next step is due.
-	Json record = Json::array();                  ///< Accepted generations with times.
+	uint64_t highest_epoch = 0;                   ///< Highest fencing token received.
+	Json orders = Json::array();                  ///< Executed orders.
+	std::deque<uint64_t> prefixes;                ///< Hashes of cached prefixes.
+	bool leaving = false;                         ///< The reports announce that the engine drains.
+	int64_t leaving_since = 0;                    ///< When that was announced; 0 for never.
+	bool reports_frozen = false;                  ///< Unused.
+	double slow_factor = 1;                       ///< Factor on the duration of a step.
+	int64_t next_step = 0;                        ///< Due time of the next step.
+	Json record = Json::array();                  ///< Accepted generations with their times.
 };
 
 } // namespace cottonspool
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file main.cpp Test-only stand-ins of what stands outside of the system. */
+/** @file main.cpp Test program with stand-ins for the systems around cottonspool. */
 
 #include "standin_func.h"
 #include <csignal>
@@ -8,14 +8,14 @@
 #include <iostream>
 
 DEFINE_string(ip, "127.0.0.1", "address to listen on");
-DEFINE_int32(port, 0, "port to listen on; 0 takes a free one and prints it");
+DEFINE_int32(port, 0, "port to listen on; 0 selects a free one, which is printed");
 
 namespace cottonspool {
 
-/** Timer that owns its function. */
+/** Timer with its callback. */
 struct OwnedTimer {
 	uv_timer_t timer{};        ///< libuv's timer.
-	std::function<void()> run; ///< Function.
+	std::function<void()> run; ///< Callback.
 };
 
 void Every(uv_loop_t *loop, uint64_t period_ms, std::function<void()> run)
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file platform.cpp Platform stand-in: table, object store and instance list, with outages and lost answers. */
+/** @file platform.cpp Stand-in for the platform: table, object store and instance list, with outages and lost answers. */
 
 #include "standin_func.h"
 #include <map>
@@ -13,12 +13,12 @@
 	uint64_t version = 0; ///< Version, for If-Match.
 };
 
-/** Table, objects and instance list in memory. */
+/** Table, object store and instance list, in memory. */
 class PlatformStandin {
 public:
 	explicit PlatformStandin(uv_loop_t *loop) : loop(loop) {}
 
-	/** Answer one request. */
+	/** Handle one request. */
 	void Handle(const std::shared_ptr<HttpExchange> &exchange)
 	{
 		const HttpRequest &request = exchange->request;
@@ -97,17 +97,17 @@
 		Answer(exchange, 200, {{"ok", true}});
 	}
 
-	uv_loop_t *loop;                                 ///< Loop.
+	uv_loop_t *loop;                                 ///< Event loop.
 	std::map<std::string, PlatformRow> table;        ///< Rows by path.
 	std::map<std::string, PlatformRow> objects;      ///< Objects by path.
-	Json instances = Json::array();                  ///< Instance list, set by scenarios, as late as they like.
-	uint64_t version = 0;                            ///< Last version given out.
-	bool down = false;                               ///< Answers nothing.
-	uint64_t slow_ms = 0;                            ///< Delay of each answer.
-	int lose_answers = 0;                            ///< Writes still to be done without an answer.
-	uint64_t reads = 0;                              ///< Reads so far.
-	uint64_t writes = 0;                             ///< Writes so far.
-	std::vector<std::shared_ptr<HttpExchange>> held; ///< Requests that never get an answer.
+	Json instances = Json::array();                  ///< Instance list, set by scenarios.
+	uint64_t version = 0;                            ///< Last assigned version.
+	bool down = false;                               ///< Simulated outage: requests get no answer.
+	uint64_t slow_ms = 0;                            ///< Delay of each request, in milliseconds.
+	int lose_answers = 0;                            ///< Number of next writes that take effect without an answer.
+	uint64_t reads = 0;                              ///< Number of reads.
+	uint64_t writes = 0;                             ///< Number of writes.
+	std::vector<std::shared_ptr<HttpExchange>> held; ///< Requests kept open that never get an answer.
 };
 
 int RunPlatform(uv_loop_t *loop)
--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file relay.cpp Loopback proxy: links between processes that can be cut, reset, silenced, delayed, and cut one way. */
+/** @file relay.cpp TCP proxy that injects network faults: delays, stalls, closed and reset connections, and loss in one direction. */
 
 #include "standin_func.h"
 #include <deque>
@@ -9,44 +9,44 @@
 #include <map>
 #include <set>
 
-DEFINE_string(to, "", "IP:PORT that the first link leads to; none without it");
+DEFINE_string(to, "", "IP:PORT that the first link connects to; empty for no first link");
 DEFINE_int32(link_port, 0, "port of the first link");
 DECLARE_string(ip);
 
 namespace cottonspool {
 
-static constexpr int SIDES = 2; ///< Caller's side and far side.
+static constexpr int SIDES = 2; ///< Client and upstream.
 
-/** What a link does with the bytes that come. */
+/** How a link treats data and connections. */
 enum class LinkMode {
-	Pass,         ///< Pass them on.
-	Stall,        ///< Read nothing: both sides hear nothing, and their buffers fill.
-	Cut,          ///< Close connections, also new ones.
-	Reset,        ///< Reset connections, also new ones.
-	DropAnswers,  ///< Lose what the far side sends.
-	DropRequests, ///< Lose what the caller sends.
+	Pass,         ///< Forward data.
+	Stall,        ///< Stop reading, so that send buffers fill up.
+	Cut,          ///< Close all connections, including new ones.
+	Reset,        ///< Reset all connections, including new ones.
+	DropAnswers,  ///< Discard data from the upstream.
+	DropRequests, ///< Discard data from the client.
 };
 
 class Link;
 
-/** One relayed connection. */
+/** One proxied connection. */
 struct Relayed {
-	Link *link;            ///< Link that it runs over.
-	uv_tcp_t sides[SIDES]; ///< Caller's side and far side.
-	int open = SIDES;      ///< Sides not yet closed.
-	bool holed = false;    ///< Bytes were lost: TCP would never pass on what follows them.
-	bool closing = false;  ///< Being closed.
+	Link *link;            ///< Link that accepted it.
+	uv_tcp_t sides[SIDES]; ///< Sockets to the client and to the upstream.
+	int open = SIDES;      ///< Number of sockets that are not closed.
+	bool holed = false;    ///< Data was discarded; later data must not be forwarded, as TCP never skips bytes.
+	bool closing = false;  ///< The connection is being closed.
 	std::deque<std::pair<int64_t, std::function<void()>>>
-	        waiting[SIDES];        ///< What has come from a side, each with the time at which it is passed on.
-	std::shared_ptr<bool> present; ///< False once it is being closed; delayed bytes hold it.
+	        waiting[SIDES];        ///< Delayed actions for the data of each side, with their due times.
+	std::shared_ptr<bool> present; ///< Set to false on closing; timers of delayed actions share it.
 };
 
-/** One port that leads to one address. */
+/** A listening port whose connections are forwarded to one address. */
 class Link {
 public:
 	Link(uv_loop_t *loop, const sockaddr_in &far) : loop(loop), far(far) {}
 
-	/** Listen on \a port; 0 takes a free one. @return The port; 0 if it cannot be had. */
+	/** Listen on \a port; 0 selects a free one. @return The port; 0 on failure. */
 	int Listen(int port)
 	{
 		uv_tcp_init(this->loop, &this->listener);
@@ -61,7 +61,7 @@
 		return ntohs(address.sin_port);
 	}
 
-	/** Treat all connections so from now on; what passes is late by \a delay_ms. */
+	/** Apply a mode and a delay to existing and new connections. */
 	void Set(LinkMode new_mode, int64_t delay_ms)
 	{
 		this->mode = new_mode;
@@ -124,7 +124,7 @@
 			if (--gone->open == 0) delete gone;
 		};
 		for (uv_tcp_t &side : each->sides) {
-			// A connection that was never made cannot be reset.
+			// Resetting fails if the connection was never established.
 			bool reset = this->mode == LinkMode::Reset && uv_tcp_close_reset(&side, closed) == 0;
 			if (!reset && !uv_is_closing(reinterpret_cast<uv_handle_t *>(&side))) uv_close(reinterpret_cast<uv_handle_t *>(&side), closed);
 		}
@@ -149,20 +149,20 @@
 		if (!bytes.empty()) each->link->Later(each, side, [each, side, bytes] { Write(each, 1 - side, bytes); });
 	}
 
-	/** A side has closed: the other one is closed behind the bytes that are still on their way. */
+	/** A side was closed: close the connection after the delayed data was forwarded. */
 	void End(Relayed *each, int side)
 	{
 		this->Later(each, side, [this, each] { this->Close(each); });
 	}
 
-	/** Call \a act after the link's delay, and always behind what came before it on that side: TCP never changes the order. */
+	/** Call \a act after the link's delay, in order with the earlier actions of that side. */
 	void Later(Relayed *each, int side, std::function<void()> act)
 	{
 		each->waiting[side].emplace_back(NowMs() + this->delay, std::move(act));
 		if (each->waiting[side].size() == 1) this->Pump(each, side);
 	}
 
-	/** Call what is due on \a side, in order. */
+	/** Call the due actions of \a side in order. */
 	void Pump(Relayed *each, int side)
 	{
 		std::shared_ptr<bool> present = each->present;
@@ -192,15 +192,15 @@
 		if (uv_write(write, reinterpret_cast<uv_stream_t *>(&each->sides[side]), &buffer, 1, done) != 0) done(write, 0);
 	}
 
-	uv_loop_t *loop;               ///< Loop.
-	sockaddr_in far;               ///< Address that it leads to.
+	uv_loop_t *loop;               ///< Event loop.
+	sockaddr_in far;               ///< Address that connections are forwarded to.
 	uv_tcp_t listener{};           ///< Listening socket.
-	LinkMode mode{LinkMode::Pass}; ///< What becomes of bytes.
-	int64_t delay = 0;             ///< Time that they are late by, in milliseconds.
-	std::set<Relayed *> relayed;   ///< Connections.
+	LinkMode mode{LinkMode::Pass}; ///< Current mode.
+	int64_t delay = 0;             ///< Delay of forwarded data, in milliseconds.
+	std::set<Relayed *> relayed;   ///< Open connections.
 };
 
-/** @return The mode named \a name. */
+/** @return The mode called \a name; Pass for an unknown name. */
 static LinkMode ModeNamed(const std::string &name)
 {
 	static const std::map<std::string, LinkMode> modes{{"stall", LinkMode::Stall},
--- a/tests/standins/service.cpp
+++ b/tests/standins/service.cpp
@@ -1,21 +1,21 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file service.cpp Plain service stand-in: records what it ran, can be late and can cut its answers short. */
+/** @file service.cpp Stand-in for a service, which can delay and truncate its answers and records what it executed. */
 
 #include "standin_func.h"
 #include <gflags/gflags.h>
 #include <unistd.h>
 
-DEFINE_uint64(slots, 32, "calls run at once, as reported");
+DEFINE_uint64(slots, 32, "concurrent calls, as reported in the load report");
 
 namespace cottonspool {
 
-/** A plain service with a record of its runs. */
+/** A service that records the requests it executed. */
 class ServiceStandin {
 public:
 	explicit ServiceStandin(uv_loop_t *loop) : loop(loop) {}
 
-	/** Answer one request. */
+	/** Handle one request. */
 	void Handle(const std::shared_ptr<HttpExchange> &exchange)
 	{
 		if (exchange->request.path == "/record")
@@ -67,13 +67,13 @@
 		});
 	}
 
-	uv_loop_t *loop;           ///< Loop.
-	Json runs = Json::array(); ///< What was run.
-	uint64_t sequence = 0;     ///< Reports made.
-	uint64_t running = 0;      ///< Calls running.
-	uint64_t delay_ms = 0;     ///< Added to each run.
-	bool leaving = false;      ///< Notice given.
-	int64_t leaving_since = 0; ///< When notice was given.
+	uv_loop_t *loop;           ///< Event loop.
+	Json runs = Json::array(); ///< Executed requests.
+	uint64_t sequence = 0;     ///< Number of reports made.
+	uint64_t running = 0;      ///< Number of running requests.
+	uint64_t delay_ms = 0;     ///< Additional duration of each request.
+	bool leaving = false;      ///< The reports announce that the service drains.
+	int64_t leaving_since = 0; ///< When that was announced; 0 for never.
 };
 
 int RunService(uv_loop_t *loop)
--- a/tests/standins/world.cpp
+++ b/tests/standins/world.cpp
@@ -1,25 +1,25 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file world.cpp Engines and services of the users' platform in small, and the control of the whole world. */
+/** @file world.cpp Simulation of the users' platform: engines, services, and the control interface for scenarios. */
 
 #include "world_base.h"
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_int32(engines, 4, "world: engines");
-DEFINE_int32(services, 2, "world: plain services");
-DEFINE_int32(event_ms, 20, "world: time between events of a stream");
+DEFINE_int32(engines, 4, "world: number of engines");
+DEFINE_int32(services, 2, "world: number of services");
+DEFINE_int32(event_ms, 20, "world: interval between events of a stream, in milliseconds");
 
 namespace cottonspool {
 
-static constexpr uint64_t STEP_MS = 5;           ///< Time between looks at running generations.
-static constexpr int64_t NOTICE_MS = 1500;       ///< Time after a notice from which a new request is too late.
-static constexpr uint64_t COPY_MS = 40;          ///< Time that a copy of a run's memory takes.
-static constexpr uint64_t RESUME_MS = 80;        ///< Time until a run that was moved makes its next event.
-static constexpr uint64_t MEMORY_TOKENS = 40000; ///< Memory told in reports.
-static constexpr uint64_t CRASH_MS = 40;         ///< Time for which a target lives that has begun a request that ends it.
-static constexpr uint64_t BACK_MS = 1500;        ///< Time until it is back.
-static const char *const CRASHER = "crash";      ///< Body that such a request begins with.
+static constexpr uint64_t STEP_MS = 5;           ///< Interval of the timer for running generations.
+static constexpr int64_t NOTICE_MS = 1500;       ///< Time after a drain announcement from which new requests are recorded as late.
+static constexpr uint64_t COPY_MS = 40;          ///< Duration of copying a run's KV cache.
+static constexpr uint64_t RESUME_MS = 80;        ///< Time until a migrated run sends its next event.
+static constexpr uint64_t MEMORY_TOKENS = 40000; ///< Memory size in load reports.
+static constexpr uint64_t CRASH_MS = 40;         ///< Time until a request with a crash body crashes the target.
+static constexpr uint64_t BACK_MS = 1500;        ///< Time until a crashed target restarts.
+static const char *const CRASHER = "crash";      ///< Beginning of the body of requests that crash the target.
 static const char *const HALLS[] = {"hall-a", "hall-b"};
 
 WorldTarget::WorldTarget(uv_loop_t *loop, WorldStore &store, WorldRecord &record, std::string id, std::string pool, std::string hall,
@@ -147,7 +147,7 @@
 	if (!this->limit.empty()) headers.push_back({"Server-Limit", this->limit});
 	if (!this->says_leaving) return headers;
 	headers.push_back({"Server-Leaving", "1"});
-	// Nobody could know before the first answer that says so.
+	// The drain counts from the first answer that announces it.
 	if (this->left_at == 0) this->left_at = NowMs();
 	return headers;
 }
@@ -190,7 +190,7 @@
 	this->record.runs.push_back(
 	        {{"request", attempt}, {"target", this->id}, {"hall", this->hall}, {"resumed", !from.empty()}, {"at", NowMs()}});
 	if (!from.empty()) this->record.resumed_at[attempt] = NowMs();
-	// A run that goes on elsewhere takes a moment to begin there: its old engine makes further events meanwhile.
+	// A migrated run starts with a delay, during which its previous engine keeps generating.
 	if (from.empty()) return this->Begin(std::move(run));
 	After(this->loop, RESUME_MS, [this, run] {
 		if (!run.exchange->IsOver()) this->Begin(run);
@@ -247,12 +247,12 @@
 	});
 }
 
-/** The whole world: store, targets, and their control. */
+/** The simulation: store, targets, and the control interface. */
 class World {
 public:
 	explicit World(uv_loop_t *loop) : loop(loop), store(loop), front(loop, [this](const Exchange &exchange) { this->Handle(exchange); }) {}
 
-	/** Start everything. */
+	/** Start all targets and the control interface. */
 	void Start()
 	{
 		for (int i = 0; i < FLAGS_engines; i++) this->Add("engine-" + std::to_string(i), "engines", HALLS[i % 2], true);
@@ -324,11 +324,11 @@
 		exchange->Respond(200, {}, "{}");
 	}
 
-	uv_loop_t *loop;                                             ///< Loop.
-	WorldStore store;                                            ///< Store.
-	WorldRecord record;                                          ///< What ran.
+	uv_loop_t *loop;                                             ///< Event loop.
+	WorldStore store;                                            ///< Store of the platform.
+	WorldRecord record;                                          ///< Recorded events.
 	std::map<std::string, std::unique_ptr<WorldTarget>> targets; ///< Targets by name.
-	HttpFront front;                                             ///< Store and control.
+	HttpFront front;                                             ///< HTTP server of the store and the control interface.
 };
 
 int RunWorld(uv_loop_t *loop)
--- a/tests/standins/world_base.h
+++ b/tests/standins/world_base.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file world_base.h The users' platform in small: a store with rows and a feed, engines that stream, move and leave, services. */
+/** @file world_base.h Simulation of the users' platform: a store with a change feed, engines and services. */
 
 #pragma once
 
@@ -13,57 +13,57 @@
 
 using Exchange = std::shared_ptr<FrontExchange>;
 
-/** The platform's store: rows with versions, a feed that waits, and outages. */
+/** The platform's store: versioned rows, a long-polling change feed, and simulated outages. */
 class WorldStore {
 public:
 	explicit WorldStore(uv_loop_t *loop) : loop(loop) {}
 
-	/** Write a row as the operator or a target does. */
+	/** Write a row. */
 	void Put(const std::string &table, const std::string &key, const std::string &value);
 
-	/** Remove a row. */
+	/** Delete a row. */
 	void Remove(const std::string &table, const std::string &key);
 
-	/** Answer a call of an instance. @return False if it is none. */
+	/** Handle a request of an instance. @return False if its path is not one of the store. */
 	bool Handle(const Exchange &exchange);
 
-	/** Keep a copy of all rows as they are now. */
+	/** Back up all rows. */
 	void TakeCopy();
 
-	/** Come back from the copy: what was written since is gone, and its versions are given out again. Calls that wait are reset. */
+	/** Restore the backup: later writes are lost and their versions are assigned again. Waiting requests are reset. */
 	void ReturnFromCopy();
 
-	/** Write the rows of \a table again as they were written last, those that are not there as they were. */
+	/** Write again the rows of \a table that a restore lost or reverted. */
 	void WriteAgain(const std::string &table);
 
-	std::string mode = "up"; ///< "up", "busy" (503), "silent" (no answer), "away" (reset), "compact" (history gone, once) or "lose" (writes
-	                         ///< done, not answered).
-	int64_t slow_ms = 0;     ///< Time by which answers are late, in milliseconds.
-	std::map<std::string, std::string> shown_as; ///< Addresses that rows show in place of others: those of links.
-	uint64_t calls = 0;                          ///< Calls answered or turned away.
+	std::string mode = "up"; ///< "up", "busy" (503), "silent" (no answer), "away" (reset), "compact" (history compacted, once) or "lose"
+	                         ///< (writes take effect without an answer).
+	int64_t slow_ms = 0;     ///< Delay of answers, in milliseconds.
+	std::map<std::string, std::string> shown_as; ///< Replacements for addresses in rows, to route connections through a proxy.
+	uint64_t calls = 0;                          ///< Number of received requests.
 
 private:
-	/** One row with its history. */
+	/** One row; a deleted one is kept for the feed. */
 	struct Row {
-		std::string value;    ///< Content.
-		uint64_t version = 0; ///< Version.
-		bool deleted = false; ///< Gone.
+		std::string value;    ///< Value.
+		uint64_t version = 0; ///< Version of the last write.
+		bool deleted = false; ///< The row was deleted.
 	};
 
-	/** A feed call that waits. */
+	/** A waiting feed request. */
 	struct Waiting {
-		Exchange exchange; ///< Call.
-		std::string table; ///< Table.
-		uint64_t since;    ///< Version.
-		int64_t until;     ///< When it is answered without rows.
+		Exchange exchange; ///< Request and answer.
+		std::string table; ///< Name of the table.
+		uint64_t since;    ///< Version after which changes are requested.
+		int64_t until;     ///< Time at which it is answered even without rows.
 	};
 
 	using Tables = std::map<std::string, std::map<std::string, Row>>;
 
-	/** What a store comes back with. */
+	/** Content of a backup. */
 	struct Copy {
-		Tables tables;        ///< Rows.
-		uint64_t version = 0; ///< Counter.
+		Tables tables;        ///< All rows.
+		uint64_t version = 0; ///< Version counter.
 	};
 
 	void Reply(const Exchange &exchange, int status, const Json &body) const;
@@ -76,78 +76,78 @@
 	void Transact(const Exchange &exchange);
 	void WakeAll();
 
-	uv_loop_t *loop;            ///< Loop.
+	uv_loop_t *loop;            ///< Event loop.
 	Tables tables;              ///< Rows by table and key.
-	uint64_t version = 0;       ///< Counter of the whole store.
-	uint64_t era = 1;           ///< Rises with each return from a copy.
-	Copy copy;                  ///< Copy taken last.
-	Tables newest;              ///< Rows as they were written last, also if the store has lost them.
-	std::list<Waiting> waiting; ///< Feed calls that wait.
-	bool ticking = false;       ///< The timer of waiting calls runs.
+	uint64_t version = 0;       ///< Version counter of the store.
+	uint64_t era = 1;           ///< Increases with each restore.
+	Copy copy;                  ///< Last backup.
+	Tables newest;              ///< Last write of each row, including writes that a restore lost.
+	std::list<Waiting> waiting; ///< Waiting feed requests, and requests that never get an answer.
+	bool ticking = false;       ///< The timer for waiting requests was started.
 };
 
-/** What the targets of one world share. */
+/** Events recorded by all targets, for the checks of scenarios. */
 struct WorldRecord {
-	Json runs = Json::array();                                      ///< Runs: request, target, resumed.
-	Json late = Json::array();                                      ///< Requests that came long after the notice.
-	std::map<std::string, std::pair<std::string, uint64_t>> copies; ///< Copies by handle: request and events made.
-	std::map<std::string, int64_t> resumed_at;                      ///< When another engine was asked to go on, by request.
-	Json overlaps = Json::array();                                  ///< Milliseconds for which an old engine still made events then.
-	uint64_t reports = 0;                                           ///< Reports told.
-	Json arrivals = Json::array(); ///< Requests that reached a target which names a limit or asked for a pause: target, when.
-	Json pauses = Json::array();   ///< Pauses asked for: target, when, until when.
-	Json limits = Json::array();   ///< Limits named: target, requests a second (0: none any more), when.
-	Json crashes = Json::array();  ///< Crashes: request, target, when.
-	uint64_t next_handle = 1;      ///< Number of the next copy.
+	Json runs = Json::array();                                      ///< Executed requests: request, target, resumed.
+	Json late = Json::array();                                      ///< Requests that arrived long after the target announced its drain.
+	std::map<std::string, std::pair<std::string, uint64_t>> copies; ///< KV cache copies by handle: request and number of events.
+	std::map<std::string, int64_t> resumed_at;                      ///< When a request was resumed on another engine.
+	Json overlaps = Json::array(); ///< Time for which the previous engine kept generating after that, in milliseconds.
+	uint64_t reports = 0;          ///< Number of load reports given out.
+	Json arrivals = Json::array(); ///< Requests at targets with a rate limit or pause: target, request, time.
+	Json pauses = Json::array();   ///< Requested pauses: target, start, end.
+	Json limits = Json::array();   ///< Announced rate limits: target, requests per second (0 for none), time.
+	Json crashes = Json::array();  ///< Crashes: request, target, time.
+	uint64_t next_handle = 1;      ///< Number of the next handle.
 };
 
-/** One engine or service. */
+/** A simulated engine or service. */
 class WorldTarget {
 public:
 	WorldTarget(uv_loop_t *loop, WorldStore &store, WorldRecord &record, std::string id, std::string pool, std::string hall, bool engine);
 
-	/** Listen and enter the list. */
+	/** Start listening and write the target's row. */
 	void Start();
 
-	/** @return Where it listens. */
+	/** @return The address (IP:PORT). */
 	std::string Address() const { return "127.0.0.1:" + std::to_string(this->port); }
 
-	/** @return Whether it still listens. */
+	/** @return Whether the target is running. */
 	bool IsAlive() const { return this->front != nullptr; }
 
-	/** Say that it leaves; \a silently only removes its row. */
+	/** Start draining. @param silently Delete the row instead of changing its state. */
 	void Leave(bool silently);
 
-	/** Say with its answers that it leaves, and nowhere else. */
+	/** Start draining, announced only in answer headers. */
 	void SayLeaving();
 
-	/** End at once: every connection is reset. */
+	/** Stop for good: reset all connections and delete the row. */
 	void Kill();
 
-	/** Crash: every connection is reset, the row lapses later, and it starts again after \a back_ms under the same name and address. */
+	/** Crash: reset all connections, keep the row, and restart after \a back_ms with the same name and address. */
 	void Crash(uint64_t back_ms);
 
-	/** Start again under the same name while the connections of the former life stay open and say nothing more. */
+	/** Restart under the same name at another port, while connections of the previous incarnation stay open without an answer. */
 	void Hang();
 
-	/** Write the row again, as a heartbeat does. */
+	/** Write the row, as a heartbeat does. */
 	void Beat();
 
-	std::string id;       ///< Name of its incarnation.
-	int64_t cold_ms = 0;  ///< How much longer it says that it is cold, in milliseconds.
-	double fail_part = 0; ///< Part of the answers that are 500.
-	std::string garble;   ///< "reset", "extra" or empty.
-	std::string limit;    ///< Limit that it names with its answers; empty for none.
-	int64_t pause_ms = 0; ///< Pause that it asks for, once, with a refusal, in milliseconds; zero for none.
+	std::string id;       ///< Name; the key of its row.
+	int64_t cold_ms = 0;  ///< Remaining cold start time written to the row, in milliseconds.
+	double fail_part = 0; ///< Fraction of answers that are 500.
+	std::string garble;   ///< "reset" truncates and resets answers; empty for none.
+	std::string limit;    ///< Rate limit announced in answers; empty for none.
+	int64_t pause_ms = 0; ///< Pause to request with the next rejection, in milliseconds; 0 for none.
 
 private:
-	/** One generation. */
+	/** A running generation. */
 	struct Run {
-		Exchange exchange;   ///< Caller.
-		std::string attempt; ///< Request.
-		uint64_t made = 0;   ///< Events made.
-		uint64_t length = 0; ///< Events in all.
-		int64_t next_at = 0; ///< When the next one is due.
+		Exchange exchange;   ///< Request and answer.
+		std::string attempt; ///< Id of the request.
+		uint64_t made = 0;   ///< Number of sent events.
+		uint64_t length = 0; ///< Total number of events.
+		int64_t next_at = 0; ///< Due time of the next event.
 	};
 
 	void Listen();
@@ -161,22 +161,22 @@
 	void Move(const Exchange &exchange);
 	void Step();
 
-	uv_loop_t *loop;                                ///< Loop.
-	WorldStore &store;                              ///< Store.
-	WorldRecord &record;                            ///< Record.
-	std::string pool;                               ///< Pool.
+	uv_loop_t *loop;                                ///< Event loop.
+	WorldStore &store;                              ///< Store of the platform.
+	WorldRecord &record;                            ///< Shared record of events.
+	std::string pool;                               ///< Pool that the target belongs to.
 	std::string hall;                               ///< Data hall.
-	bool engine;                                    ///< Streams.
-	std::unique_ptr<HttpFront> front;               ///< Listener.
-	std::vector<std::unique_ptr<HttpFront>> silent; ///< Listeners of former lives whose connections stay open.
-	uint16_t port = 0;                              ///< Port.
-	std::list<Run> running;                         ///< Generations.
-	bool leaving = false;                           ///< Said that it leaves.
-	bool says_leaving = false;                      ///< Says so with its answers, and nowhere else.
-	int64_t left_at = 0;                            ///< When.
-	int64_t paused_until = 0;                       ///< It wants nothing before.
-	uint64_t answers = 0;                           ///< Answers given.
-	int64_t born = 0;                               ///< When this life began.
+	bool engine;                                    ///< It is an engine, which streams its answers.
+	std::unique_ptr<HttpFront> front;               ///< HTTP server; null while stopped.
+	std::vector<std::unique_ptr<HttpFront>> silent; ///< HTTP servers of previous incarnations, whose connections stay open.
+	uint16_t port = 0;                              ///< Port of the current or last incarnation.
+	std::list<Run> running;                         ///< Running generations.
+	bool leaving = false;                           ///< The row announces the drain.
+	bool says_leaving = false;                      ///< Only answer headers announce the drain.
+	int64_t left_at = 0;                            ///< When the drain was announced; 0 for not yet.
+	int64_t paused_until = 0;                       ///< End of the requested pause.
+	uint64_t answers = 0;                           ///< Counter of answers and rows.
+	int64_t born = 0;                               ///< Start time of this incarnation.
 };
 
 } // namespace cottonspool
--- a/tests/standins/world_store.cpp
+++ b/tests/standins/world_store.cpp
@@ -1,14 +1,15 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file world_store.cpp The platform's store in small. */
+/** @file world_store.cpp Simulated store of the users' platform. */
 
 #include "world_base.h"
 #include <openssl/evp.h>
 
 namespace cottonspool {
 
-static constexpr uint64_t WAIT_TICK_MS = 20; ///< Time between looks at waiting feed calls.
+static constexpr uint64_t WAIT_TICK_MS = 20; ///< Interval at which waiting feed requests are checked.
 
+/** @return \a bytes in base64. */
 static std::string Encode64(const std::string &bytes)
 {
 	std::string text((bytes.size() + 2) / 3 * 4 + 1, '\0');
@@ -18,6 +19,7 @@
 	return text;
 }
 
+/** @return The bytes that \a text encodes in base64. */
 static std::string Decode64(const std::string &text)
 {
 	std::string bytes(text.size() / 4 * 3, '\0');
