--- a/src/http/http_type.h
+++ b/src/http/http_type.h
@@ -33,7 +33,7 @@
 	std::string body;    ///< Complete body.
 };
 
-/** @return The value of \a key in \a query ("a=1&b=2"), or an empty string. */
+/** @return The percent-decoded value of \a key in \a query ("a=1&b=2"), or an empty string. */
 std::string QueryValue(std::string_view query, std::string_view key);
 
 /** Limits on what callers may send. */
--- a/src/instance/call.cpp
+++ b/src/instance/call.cpp
@@ -34,7 +34,7 @@
 		auto call = weak.lock();
 		if (!call || call->over) return;
 		call->Note("caller disconnected");
-		if (!call->spec.repeatable && call->sent) return; // It runs on, as its result has to be recorded in the claim.
+		if (!call->spec.repeatable && call->sent) return; // Let it finish, as its result is recorded in the claim.
 		call->over = true;
 		call->OnCallerGone();
 		if (call->submitted && !call->sent) call->instance.dispatcher.Withdraw(call->spec.id);
@@ -89,6 +89,7 @@
 {
 	this->submitted = true;
 	TimePoint now = MonotonicNow();
+	// The time spent on the claim does not count against the deadline.
 	Duration waited = now - this->spec.arrived;
 	if (waited > std::chrono::milliseconds(1)) this->spec.deadline += waited;
 	this->instance.Carry(this->instance.dispatcher.Submit(this->spec, now));
--- a/src/instance/completion_call.cpp
+++ b/src/instance/completion_call.cpp
@@ -8,9 +8,8 @@
 
 namespace cottonspool {
 
-static constexpr Duration RESUME_PAUSE =
-        std::chrono::milliseconds(100);           ///< Delay before the second attempt to resume; grows by this much with each further one.
-static constexpr uint32_t MAX_PAUSES = 10;        ///< Largest multiple of that delay.
+static constexpr Duration RESUME_PAUSE = std::chrono::milliseconds(100); ///< Added to the delay with each further attempt to resume.
+static constexpr uint32_t MAX_PAUSES = 10;                               ///< Attempts after which the delay no longer grows.
 static constexpr double EXPECTED_INTERVAL = 0.2;  ///< Interval between tokens, in seconds, above which a stall is counted.
 static constexpr size_t MAX_CANCEL_ANSWER = 4096; ///< Largest accepted answer to a cancellation, in bytes.
 
--- a/src/instance/target_watch.cpp
+++ b/src/instance/target_watch.cpp
@@ -56,8 +56,7 @@
 	return report;
 }
 
-/** @return The targets that \a instance uses: for each model all, or a stable choice of \a watched, from the local \a hall if it has
- * enough. */
+/** @return The targets that \a instance uses: at most \a watched per model, from the local \a hall if it has enough. */
 static std::set<std::string> ChooseTargets(const ConfigurationState &configuration, const std::string &instance, const std::string &hall,
                                            size_t watched)
 {
--- a/src/instance/target_watch.h
+++ b/src/instance/target_watch.h
@@ -29,8 +29,7 @@
 	{
 	}
 
-	/** Apply a new configuration. @param watched Most targets per model; a larger set is divided among the instances by rendezvous hashing.
-	 */
+	/** Apply a new configuration. Of more than \a watched targets per model, the name of \a instance selects a stable subset. */
 	void Configure(const ConfigurationState &configuration, const std::string &instance, const std::string &hall, size_t watched);
 
 	/** Request the reports that are due. */
