--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -14,18 +14,18 @@
 
 /** A request with the callbacks for its answer. Callbacks run on the loop, never inside Start(). */
 struct HttpCall {
-	std::string method = "GET";                            ///< Request method.
-	std::string url;                                       ///< URL of the form "http://IP:PORT/path".
-	HttpHeaders headers;                                   ///< Request header fields.
-	std::string body;                                      ///< Request body.
-	Duration connect_limit = std::chrono::seconds(1);      ///< Timeout for establishing the connection.
-	Duration first_byte_limit = std::chrono::seconds(30);  ///< Timeout from the start to the head of the answer.
-	Duration idle_limit = std::chrono::seconds(30);        ///< Longest time without data after the head.
-	Duration total_limit = std::chrono::hours(24);         ///< Timeout of the whole call.
-	bool single_send = false;                              ///< Use a new connection, as libcurl sends again when a reused one fails.
-	std::function<void(int, const HttpHeaders &)> on_head; ///< Called with status and headers.
-	std::function<void(std::string_view)> on_data;         ///< Called with each part of the body.
-	std::function<void(const HttpEnd &)> on_end;           ///< Called last, with the result.
+	std::string method = "GET";                             ///< Request method.
+	std::string url;                                        ///< URL of the form "http://IP:PORT/path".
+	HttpHeaders headers;                                    ///< Request header fields.
+	std::string body;                                       ///< Request body.
+	Duration connect_timeout = std::chrono::seconds(1);     ///< Timeout for establishing the connection.
+	Duration first_byte_timeout = std::chrono::seconds(30); ///< Timeout from the start to the head of the answer.
+	Duration idle_timeout = std::chrono::seconds(30);       ///< Longest time without data after the head.
+	Duration total_timeout = std::chrono::hours(24);        ///< Timeout of the whole call.
+	bool fresh_connection = false;                          ///< Use a new connection, as libcurl sends again when a reused one fails.
+	std::function<void(int, const HttpHeaders &)> on_head;  ///< Called with status and headers.
+	std::function<void(std::string_view)> on_data;          ///< Called with each part of the body.
+	std::function<void(const HttpCallResult &)> on_end;     ///< Called last, with the result.
 };
 
 /** HTTP client. */
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -49,7 +49,7 @@
 	bool IsClosed() const { return this->req == nullptr; }
 
 	/** @return Whether the caller has closed the connection, by probing its socket. */
-	bool IsCallerGone() const;
+	bool IsCallerDisconnected() const;
 
 	/** For the server only: the data handed to h2o was sent. */
 	void OnProceed();
@@ -61,15 +61,15 @@
 	void *generator = nullptr;   ///< h2o's generator for this request.
 
 private:
-	void Pump();
-
-	std::string pending;   ///< Data not yet handed to h2o.
-	std::string sending;   ///< Data handed to h2o, not yet sent.
-	bool started = false;  ///< The head was sent.
-	bool finished = false; ///< Finish() or Abort() was called.
-	bool busy = false;     ///< h2o is sending the data.
-	bool aborted = false;  ///< Abort() was called.
-	bool sent_end = false; ///< The end of the answer was handed to h2o.
+	void SendPending();
+
+	std::string pending;           ///< Data not yet handed to h2o.
+	std::string sending;           ///< Data handed to h2o, not yet sent.
+	bool started = false;          ///< The head was sent.
+	bool finished = false;         ///< Finish() or Abort() was called.
+	bool send_in_progress = false; ///< h2o is sending the data.
+	bool aborted = false;          ///< Abort() was called.
+	bool end_sent = false;         ///< The end of the answer was handed to h2o.
 };
 
 /** HTTP server that passes all requests to one handler. */
--- a/src/http/http_type.h
+++ b/src/http/http_type.h
@@ -45,7 +45,7 @@
 };
 
 /** Outcome of a client's HTTP call. */
-enum class HttpEndKind : uint8_t {
+enum class HttpCallOutcome : uint8_t {
 	Answered, ///< The complete answer was received.
 	NotSent,  ///< No byte of the request was sent.
 	Broken,   ///< The connection failed after bytes of the request were sent.
@@ -53,10 +53,10 @@
 };
 
 /** Result of a client's HTTP call. */
-struct HttpEnd {
-	HttpEndKind kind = HttpEndKind::NotSent; ///< Outcome.
-	int status = 0;                          ///< HTTP status; 0 if no answer head was received.
-	std::string message;                     ///< Description of the error.
+struct HttpCallResult {
+	HttpCallOutcome kind = HttpCallOutcome::NotSent; ///< Outcome.
+	int status = 0;                                  ///< HTTP status; 0 if no answer head was received.
+	std::string message;                             ///< Description of the error.
 };
 
 } // namespace cottonspool
--- a/src/instance/call_base.h
+++ b/src/instance/call_base.h
@@ -14,11 +14,11 @@
 
 /** A rejection or an error as it is answered to the caller. */
 struct CallFailure {
-	int status = 503;                    ///< HTTP status.
-	std::string reason;                  ///< Machine-readable error type.
-	std::string message;                 ///< Explanation for the caller.
-	RanState ran = RanState::No;         ///< Whether the request was executed.
-	std::optional<Duration> retry_after; ///< Delay for the Retry-After header; none omits it.
+	int status = 503;                        ///< HTTP status.
+	std::string reason;                      ///< Machine-readable error type.
+	std::string message;                     ///< Explanation for the caller.
+	ExecutionState ran = ExecutionState::No; ///< Whether the request was executed.
+	std::optional<Duration> retry_after;     ///< Delay for the Retry-After header; none omits it.
 };
 
 /** One caller's request, from its arrival to its final answer. */
@@ -34,13 +34,13 @@
 	virtual void OnSend(const SendAction &action) = 0;
 
 	/** The dispatcher has abandoned the call: answer the caller with the reason. */
-	void OnGiveUp(const GiveUpAction &action);
+	void OnReject(const RejectAction &action);
 
 	/** Do periodic work; called for every open call by the instance's timer. */
 	virtual void OnTick(TimePoint now);
 
 	/** @return Whether the final answer was given or the caller disconnected. */
-	bool IsOver() const { return this->over; }
+	bool IsConcluded() const { return this->concluded; }
 
 	/** @return The description submitted to the dispatcher. */
 	const CallSpec &Spec() const { return this->spec; }
@@ -53,22 +53,22 @@
 	void Fail(const CallFailure &failure);
 
 	/** Settle the claim and remove the call from the instance, after the final answer was given. */
-	void Conclude(RanState ran, int status, const std::string &content_type, const std::string &body);
+	void Conclude(ExecutionState ran, int status, const std::string &content_type, const std::string &body);
 
 	/** The caller disconnected: cancel the work at the target. */
-	virtual void OnCallerGone() = 0;
+	virtual void OnCallerDisconnected() = 0;
 
 	/** Add a step to the call's trace, which `explain` shows. */
-	void Note(std::string text);
+	void Trace(std::string text);
 
 	/** Report the end of the current send to the dispatcher and execute its decisions. */
-	void EndSend(SendEnd end);
+	void FinishSend(SendOutcome end);
 
 	/** Record that a send may have executed the request, so that no later rejection claims the opposite. */
-	void MarkDoubtful() { this->doubtful = true; }
+	void MarkOutcomeUnknown() { this->outcome_unknown = true; }
 
 	/** @return No, or Unknown if an earlier send may have executed the request. */
-	RanState RanSoFar() const { return this->doubtful ? RanState::Unknown : RanState::No; }
+	ExecutionState CurrentExecutionState() const { return this->outcome_unknown ? ExecutionState::Unknown : ExecutionState::No; }
 
 	Instance &instance;                     ///< Instance that handles the call.
 	std::shared_ptr<HttpExchange> exchange; ///< HTTP request and answer.
@@ -77,17 +77,17 @@
 	std::string account_name;               ///< Client account.
 	bool submitted = false;                 ///< The call was submitted to the dispatcher.
 	bool sent = false;                      ///< A send is in progress.
-	bool over = false;                      ///< The final answer was given, or the caller disconnected.
-	bool doubtful = false;                  ///< An earlier send may have executed the request.
+	bool concluded = false;                 ///< The final answer was given, or the caller disconnected.
+	bool outcome_unknown = false;           ///< An earlier send may have executed the request.
 	TimePoint sent_at;                      ///< Time of the last send.
 
 private:
 	void BeginClaim();
 	void Submit();
-	void WatchCaller();
+	void InstallCloseHandler();
 
 	/** Record the result in the claim's row, if there is a claim and the result is known. */
-	void SettleClaim(RanState ran, int status, const std::string &content_type, const std::string &body);
+	void SettleClaim(ExecutionState ran, int status, const std::string &content_type, const std::string &body);
 
 	std::string claim_version; ///< Version of the claim's row; empty without a claim.
 	std::string claim_nonce;   ///< Nonce that identifies this claim.
--- a/src/instance/event_ring.cpp
+++ b/src/instance/call_trace.cpp
@@ -1,12 +1,12 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file event_ring.cpp Traces of recent calls. */
+/** @file call_trace.cpp Traces of recent calls. */
 
-#include "instance/event_ring.h"
+#include "instance/call_trace.h"
 
 namespace cottonspool {
 
-void EventRing::Add(const std::string &request, TimePoint at, std::string text)
+void CallTraceBuffer::Add(const std::string &request, TimePoint at, std::string text)
 {
 	if (this->max_calls == 0) return;
 	auto [found, added] = this->events.try_emplace(request);
@@ -20,10 +20,10 @@
 	if (found->second.size() < MAX_EVENTS) found->second.push_back({at, std::move(text)});
 }
 
-std::vector<CallEvent> EventRing::Find(const std::string &request) const
+std::vector<TraceEvent> CallTraceBuffer::Find(const std::string &request) const
 {
 	auto found = this->events.find(request);
-	return found == this->events.end() ? std::vector<CallEvent>{} : found->second;
+	return found == this->events.end() ? std::vector<TraceEvent>{} : found->second;
 }
 
 } // namespace cottonspool
--- a/src/instance/claim_store.h
+++ b/src/instance/claim_store.h
@@ -19,7 +19,7 @@
 	explicit ClaimStore(Platform &platform) : platform(platform) {}
 
 	/** Acquire the claim \a key for the request with \a request_hash. @param nonce Unique to this attempt. */
-	void Make(const std::string &key, const std::string &nonce, uint64_t request_hash, ClaimDone done);
+	void Acquire(const std::string &key, const std::string &nonce, uint64_t request_hash, ClaimDone done);
 
 	/** Write the result of a claim to the row \a key: Done with the answer, or Released. Retried until the table answers. */
 	void Settle(const std::string &key, ClaimRow row);
@@ -28,9 +28,10 @@
 	void OnTick();
 
 	/** @return Number of settlements not yet written. */
-	size_t Unsettled() const { return this->unsettled.size() + this->settling; }
+	size_t Unsettled() const { return this->unsettled.size() + this->settles_in_flight; }
 
-	static constexpr size_t MAX_RECORDED_BODY = 64U << 10; ///< Largest recorded answer, in bytes; the body of a larger one is omitted.
+	static constexpr size_t MAX_RECORDED_BODY_BYTES = 64U
+	                                                  << 10; ///< Largest recorded answer, in bytes; the body of a larger one is omitted.
 
 private:
 	/** One result to be written. */
@@ -49,7 +50,7 @@
 
 	Platform &platform;               ///< Access to the table.
 	std::deque<Settlement> unsettled; ///< Settlements to be retried.
-	size_t settling = 0;              ///< Settlements being written.
+	size_t settles_in_flight = 0;     ///< Settlements being written.
 };
 
 /** @return \a row in its stored form. */
--- a/src/instance/completion_call.h
+++ b/src/instance/completion_call.h
@@ -21,47 +21,47 @@
 	void OnTick(TimePoint now) override;
 
 protected:
-	void OnCallerGone() override;
+	void OnCallerDisconnected() override;
 
 private:
-	void StartLink(HttpCall call);
+	void OpenStream(HttpCall call);
 	void OnHead(int status, const HttpHeaders &headers);
 	void OnData(std::string_view data);
-	void OnEnd(const HttpEnd &end);
+	void OnEnd(const HttpCallResult &end);
 	void OnEvent(const SseEvent &event);
 	void DeliverToken(const SseEvent &event);
 	void MeasureToken(TimePoint now);
 	void Complete();
-	void LinkLost(const std::string &why, bool certainly_not_sent);
+	void OnStreamLost(const std::string &why, bool certainly_not_sent);
 	void ScheduleResume(TimePoint now);
 	void Resume();
-	void GiveUpGeneration(const std::string &why);
-	void OnCancelAnswer(const std::string &why, const HttpEnd &end, const std::string &body);
-	void EndLost(const std::string &why, bool certainly_not_run);
+	void CancelLostGeneration(const std::string &why);
+	void OnCancelAnswer(const std::string &why, const HttpCallResult &end, const std::string &body);
+	void OnGenerationLost(const std::string &why, bool certainly_not_run);
 	void CancelAtEngine();
-	void PauseIfSlow();
+	void PauseOnBacklog();
 	std::string EngineUrl(const std::string &path) const;
 
-	CompletionRequest request;      ///< The parsed request.
-	GenerationLedger ledger;        ///< Detects duplicate, missing and foreign tokens.
-	SseParser parser;               ///< Parser of the engine's event stream.
-	std::string engine;             ///< Address of the engine.
-	std::string engine_name;        ///< Name of the engine.
-	std::string engine_incarnation; ///< Incarnation of the engine when the request was sent.
-	uint64_t link = 0;              ///< Current HTTP call to the engine; 0 for none.
-	int link_status = 0;            ///< HTTP status of that call; 0 before it is known.
-	bool first_link = true;         ///< That call carries the request itself; false when it resumes a stream.
-	bool confirmed = false;         ///< The engine answered 200.
-	bool finished = false;          ///< The last token was received.
-	bool paused = false;            ///< Reading from the engine is paused, as the caller reads too slowly.
-	uint32_t attempts = 0;          ///< Sends so far.
-	uint32_t resumes = 0;           ///< Attempts to resume since the last token.
-	TimePoint resume_at;            ///< Time of the next attempt to resume; the epoch for none.
-	TimePoint lost_since;           ///< When the stream was lost; the epoch after a token.
-	std::string text;               ///< Generated text so far, for callers without streaming.
-	std::string finish_reason;      ///< The engine's finish reason.
-	TimePoint last_token;           ///< Time of the last token.
-	double stalled = 0;             ///< Total time by which tokens were later than expected, in seconds.
+	CompletionRequest request;       ///< The parsed request.
+	GenerationLedger ledger;         ///< Detects duplicate, missing and foreign tokens.
+	SseParser parser;                ///< Parser of the engine's event stream.
+	std::string engine;              ///< Address of the engine.
+	std::string engine_name;         ///< Name of the engine.
+	std::string engine_incarnation;  ///< Incarnation of the engine when the request was sent.
+	uint64_t http_call = 0;          ///< Current HTTP call to the engine; 0 for none.
+	int answer_status = 0;           ///< HTTP status of that call; 0 before it is known.
+	bool carries_request = true;     ///< That call carries the request itself; false when it resumes a stream.
+	bool accepted_by_engine = false; ///< The engine answered 200.
+	bool finished = false;           ///< The last token was received.
+	bool paused = false;             ///< Reading from the engine is paused, as the caller reads too slowly.
+	uint32_t attempts = 0;           ///< Sends so far.
+	uint32_t resumes = 0;            ///< Attempts to resume since the last token.
+	TimePoint resume_at;             ///< Time of the next attempt to resume; the epoch for none.
+	TimePoint stream_lost_since;     ///< When the stream was lost; the epoch after a token.
+	std::string text;                ///< Generated text so far, for callers without streaming.
+	std::string finish_reason;       ///< The engine's finish reason.
+	TimePoint last_token;            ///< Time of the last token.
+	double stall_seconds = 0;        ///< Total time by which tokens were later than expected, in seconds.
 };
 
 } // namespace cottonspool
--- a/src/instance/completion_request.h
+++ b/src/instance/completion_request.h
@@ -24,25 +24,25 @@
 outcome::basic_result<CompletionRequest, CallFailure, outcome::policy::terminate> ParseCompletion(const HttpRequest &request);
 
 /** @return The JSON body sent to an engine, with \a priority. */
-std::string EngineBody(const CompletionRequest &request, int priority);
+std::string FormatEngineBody(const CompletionRequest &request, int priority);
 
 /** Parts of one stream event that the final answer needs. */
-struct CompletionPiece {
+struct CompletionChunk {
 	std::string text;          ///< Generated text.
 	std::string finish_reason; ///< Finish reason; empty before the last event.
 };
 
 /** Parse the data of one event of an engine's stream. @return Nothing if it is no completion chunk. */
-std::optional<CompletionPiece> ParsePiece(const std::string &data);
+std::optional<CompletionChunk> ParseCompletionChunk(const std::string &data);
 
 /** @return A complete answer in the OpenAI format. */
-std::string WholeAnswer(const CompletionRequest &request, const std::string &id, const std::string &text, const std::string &finish_reason,
-                        uint64_t tokens);
+std::string FormatCompletionAnswer(const CompletionRequest &request, const std::string &id, const std::string &text,
+                                   const std::string &finish_reason, uint64_t tokens);
 
 /** @return The JSON body of an error answer. */
-std::string FailureBody(const CallFailure &failure, const std::string &request_name);
+std::string FormatFailureBody(const CallFailure &failure, const std::string &request_name);
 
 /** @return The event that ends an incomplete stream. */
-std::string FailureEvent(const CallFailure &failure, const std::string &request_name);
+std::string FormatFailureEvent(const CallFailure &failure, const std::string &request_name);
 
 } // namespace cottonspool
--- a/src/instance/configuration_keeper.h
+++ b/src/instance/configuration_manager.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file configuration_keeper.h Replication of the configuration log in one instance, and acceptance of operators' changes. */
+/** @file configuration_manager.h Replication of the configuration log in one instance, and acceptance of operators' changes. */
 
 #pragma once
 
@@ -12,7 +12,7 @@
 namespace cottonspool {
 
 /** Result code of an operator's change. */
-enum class ApplyEnd : uint8_t {
+enum class ApplyOutcome : uint8_t {
 	Accepted, ///< Appended to the log; the sequence is set.
 	Conflict, ///< A concurrent change touched the same records; that change is set.
 	Invalid,  ///< Failed validation; the message is set.
@@ -22,11 +22,11 @@
 
 /** Result of an operator's change. */
 struct ApplyResult {
-	ApplyEnd end = ApplyEnd::Unknown; ///< Result code.
-	uint64_t sequence = 0;            ///< Position in the log, if accepted.
-	bool repeated = false;            ///< An earlier request with the same id had been accepted.
-	AcceptedChange other;             ///< The conflicting change.
-	std::string message;              ///< Error message.
+	ApplyOutcome end = ApplyOutcome::Unknown; ///< Result code.
+	uint64_t sequence = 0;                    ///< Position in the log, if accepted.
+	bool repeated = false;                    ///< An earlier request with the same id had been accepted.
+	AcceptedChange other;                     ///< The conflicting change.
+	std::string message;                      ///< Error message.
 };
 
 /** Counters of the configuration since the start. */
@@ -42,18 +42,18 @@
  * Replicates the configuration log, whose entries are the rows "config/entry/N" of the platform's table. A change is accepted by
  * inserting the next row if absent, so the table orders concurrent changes. After a lost answer, the change's id is searched in the log.
  */
-class ConfigurationKeeper {
+class ConfigurationManager {
 public:
-	using Changed = std::function<void(const std::vector<std::string> &new_entries)>;
+	using ChangeHandler = std::function<void(const std::vector<std::string> &new_entries)>;
 	using ApplyDone = std::function<void(const ApplyResult &)>;
 
-	ConfigurationKeeper(Platform &platform, int64_t snapshot_every, PolicyCheck check_policy, Changed changed)
-	    : platform(platform), snapshot_every(snapshot_every), check_policy(std::move(check_policy)), changed(std::move(changed))
+	ConfigurationManager(Platform &platform, int64_t snapshot_every, PolicyCheck check_policy, ChangeHandler on_changed)
+	    : platform(platform), snapshot_every(snapshot_every), check_policy(std::move(check_policy)), on_changed(std::move(on_changed))
 	{
 	}
 
 	/** Load the snapshot, then the entries that follow it. */
-	void Boot();
+	void Bootstrap();
 
 	/** Read newer entries from the table. */
 	void Poll();
@@ -65,7 +65,7 @@
 	void OnSnapshot(const std::string &snapshot);
 
 	/** @return The entries that follow sequence \a after, or a snapshot if they are no longer kept. */
-	PeerMessage AnswerFetch(uint64_t after) const;
+	PeerMessage MakeFetchReply(uint64_t after) const;
 
 	/** Validate \a change and append it to the log. */
 	void Accept(const Change &change, ApplyDone done);
@@ -84,22 +84,22 @@
 
 private:
 	/** A change that is being accepted. */
-	struct Acceptance {
-		Change change;         ///< The change.
-		ApplyDone done;        ///< Receives the result.
-		int tries = 0;         ///< Attempts so far.
-		bool doubtful = false; ///< A write without an answer may have taken effect.
+	struct PendingChange {
+		Change change;                ///< The change.
+		ApplyDone done;               ///< Receives the result.
+		int tries = 0;                ///< Attempts so far.
+		bool outcome_unknown = false; ///< A write without an answer may have taken effect.
 	};
 
 	using PollDone = std::function<void(bool)>;
 
-	void PollThen(PollDone done);
-	bool ApplyText(const std::string &text, uint64_t *counter);
-	void AcceptRound(std::shared_ptr<Acceptance> acceptance);
-	void AcceptAtHead(const std::shared_ptr<Acceptance> &acceptance);
-	void OnInserted(const std::shared_ptr<Acceptance> &acceptance, const std::string &text, const WriteOutcome &outcome);
-	void MaybeSnapshot();
-	void Announce(std::vector<std::string> entries);
+	void PollTable(PollDone done);
+	bool ApplyEntryText(const std::string &text, uint64_t *counter);
+	void RetryAccept(std::shared_ptr<PendingChange> acceptance);
+	void ProposeChange(const std::shared_ptr<PendingChange> &acceptance);
+	void OnInserted(const std::shared_ptr<PendingChange> &acceptance, const std::string &text, const WriteOutcome &outcome);
+	void WriteSnapshotIfDue();
+	void NotifyChanged(std::vector<std::string> entries);
 
 	static constexpr size_t MAX_RECENT = 512;              ///< Most recent entries kept for peers.
 	static constexpr size_t MAX_RECENT_BYTES = 256U << 10; ///< Most bytes of recent entries.
@@ -108,7 +108,7 @@
 	Platform &platform;                                  ///< Access to the table and the objects.
 	int64_t snapshot_every;                              ///< Number of entries between snapshots.
 	PolicyCheck check_policy;                            ///< Validates policy programs.
-	Changed changed;                                     ///< Called after each update of the configuration.
+	ChangeHandler on_changed;                            ///< Called after each update of the configuration.
 	ConfigurationState state;                            ///< Current configuration.
 	std::deque<std::pair<uint64_t, std::string>> recent; ///< Recent entries with their sequences, oldest first.
 	size_t recent_bytes = 0;                             ///< Size of the recent entries.
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -4,13 +4,13 @@
 
 #pragma once
 
-#include "decision/decision_carrier.h"
+#include "decision/decision_executor.h"
 #include "http/http_server.h"
+#include "instance/call_trace.h"
 #include "instance/claim_store.h"
-#include "instance/configuration_keeper.h"
-#include "instance/event_ring.h"
-#include "instance/order_keeper.h"
-#include "instance/target_watch.h"
+#include "instance/configuration_manager.h"
+#include "instance/order_controller.h"
+#include "instance/target_poller.h"
 #include "metrics/metrics.h"
 #include "peer/peer_links.h"
 #include "platform/platform_client.h"
@@ -37,13 +37,13 @@
 	void Stop();
 
 	/** @return Calls still open when the instance stopped. */
-	size_t CutCalls() const { return this->cut_calls; }
+	size_t AbortedCalls() const { return this->aborted_calls; }
 
 	/** Execute decisions of the dispatcher. */
-	void Carry(Decisions decisions);
+	void Execute(Decisions decisions);
 
 	/** Remove \a call, whose final answer was given. */
-	void OnCallOver(CallId call);
+	void OnCallFinished(CallId call);
 
 	/** @return Whether the configuration was confirmed recently enough to accept calls that must not be repeated. */
 	bool IsConfigurationFresh() const;
@@ -54,17 +54,17 @@
 	/** @return The status of the instance as JSON, for operators. */
 	std::string StatusJson() const;
 
-	Settings settings;                 ///< Settings from the file.
-	HttpClient client;                 ///< Client for targets and the platform.
-	NameTable<ModelNumber> models;     ///< Numbers of models and services.
-	NameTable<AccountNumber> accounts; ///< Numbers of client accounts.
-	Metrics metrics;                   ///< Metrics that are exported.
-	EventRing ring;                    ///< Traces of recent calls.
-	Dispatcher dispatcher;             ///< Admission, routing and retries.
-	PlatformClient platform;           ///< Table, objects and instance list.
-	ClaimStore claims;                 ///< Claims of calls with an idempotency key.
-	TargetWatch watch;                 ///< Poller of load reports.
-	ConfigurationKeeper configuration; ///< Replicated configuration.
+	Settings settings;                  ///< Settings from the file.
+	HttpClient client;                  ///< Client for targets and the platform.
+	NameTable<ModelNumber> models;      ///< Numbers of models and services.
+	NameTable<AccountNumber> accounts;  ///< Numbers of client accounts.
+	Metrics metrics;                    ///< Metrics that are exported.
+	CallTraceBuffer traces;             ///< Traces of recent calls.
+	Dispatcher dispatcher;              ///< Admission, routing and retries.
+	PlatformClient platform;            ///< Table, objects and instance list.
+	ClaimStore claims;                  ///< Claims of calls with an idempotency key.
+	TargetPoller poller;                ///< Poller of load reports.
+	ConfigurationManager configuration; ///< Replicated configuration.
 
 private:
 	void Handle(const std::shared_ptr<HttpExchange> &exchange);
@@ -75,7 +75,8 @@
 	void HandleApply(const std::shared_ptr<HttpExchange> &exchange);
 	void Reject(const std::shared_ptr<HttpExchange> &exchange, int status, const std::string &reason, const std::string &message);
 	const std::pair<const std::string, Versioned<AccountRecord>> *Authenticate(const std::shared_ptr<HttpExchange> &exchange);
-	bool FillSpec(const std::shared_ptr<HttpExchange> &exchange, const std::string &account, const AccountRecord &record, CallSpec *spec);
+	bool FillCallSpec(const std::shared_ptr<HttpExchange> &exchange, const std::string &account, const AccountRecord &record,
+	                  CallSpec *spec);
 	void ChooseHalls(const std::string &account, const std::string &name, uint64_t draw, CallSpec *spec);
 	void Begin(const std::shared_ptr<Call> &call, const std::shared_ptr<HttpExchange> &exchange, const std::string &account);
 	Duration WaitLimit(ServiceClass service_class) const;
@@ -85,16 +86,16 @@
 	void OnPeerMessage(const PeerMessage &message, const PeerLinks::Reply &reply);
 	void OnHeartbeat(const HeartbeatMessage &message, const PeerLinks::Reply &reply, TimePoint now);
 	void OnReport(TargetNumber target, const LoadReport &report);
-	void RefreshLeaving(TargetNumber target);
-	void NoteLeaving(const LeavingTarget &leaving, const char *source);
+	void UpdateDraining(TargetNumber target);
+	void AddDrainNotice(const DrainingTarget &draining, const char *source);
 	void Heartbeat(TimePoint now);
-	void HeartbeatSoon(TimePoint now);
-	Duration HeartbeatPeriod() const;
-	void PollList();
+	void ScheduleHeartbeat(TimePoint now);
+	Duration HeartbeatInterval() const;
+	void PollInstanceList();
 	void RunDrainPolicy();
 	void OnTick();
-	void OnSecond(TimePoint now);
-	void FinishStopping(TimePoint now);
+	void OnSecondTick(TimePoint now);
+	void AdvanceShutdown(TimePoint now);
 
 	uv_loop_s *loop;                                                       ///< Event loop.
 	HttpServer server;                                                     ///< HTTP server for callers and operators.
@@ -102,22 +103,22 @@
 	std::string policy_program;                                            ///< Source of the loaded program.
 	Membership membership;                                                 ///< Other instances and draining targets.
 	PeerLinks peers;                                                       ///< Connections to other instances.
-	OrderKeeper orders;                                                    ///< Orders to the engines of the local hall.
+	OrderController orders;                                                ///< Orders to the engines of the local hall.
 	pcg64 random;                                                          ///< Random numbers for names and choices.
 	std::unordered_map<CallId, std::shared_ptr<Call>, StrongIdHash> calls; ///< Open calls.
-	DecisionCarrier<Call> carrier{this->calls};                            ///< Executes decisions on the open calls.
+	DecisionExecutor<Call> carrier{this->calls};                           ///< Executes decisions on the open calls.
 	uint64_t next_call = 1;                                                ///< Number of the next call.
 	std::map<uint64_t, TimePoint> heartbeat_times;                         ///< Send times of recent heartbeats by counter.
 	size_t heartbeat_bytes = 0;                                            ///< Size of the last heartbeat, in bytes.
-	std::map<std::string, uint64_t> heard;                                 ///< Last heartbeat counter of each peer, to be echoed.
-	std::set<std::string> listed_leaving;                                  ///< Targets that the platform lists as draining.
+	std::map<std::string, uint64_t> received_counters;                     ///< Last heartbeat counter of each peer, to be echoed.
+	std::set<std::string> listed_draining;                                 ///< Targets that the platform lists as draining.
 	TimePoint next_heartbeat, next_poll, next_list, next_second, next_call_tick, next_fetch; ///< Due times of periodic work.
-	bool fresh = false;     ///< Whether the configuration was fresh at the last check, to log transitions.
-	bool stopping = false;  ///< Stop() was called; the instance drains.
-	TimePoint stop_begun;   ///< When the shutdown began.
-	bool was_ready = false; ///< The readiness condition held once; it is not checked again.
-	bool listening = true;  ///< New connections are accepted.
-	size_t cut_calls = 0;   ///< Calls still open at the end.
+	bool was_fresh = false;   ///< Whether the configuration was fresh at the last check, to log transitions.
+	bool stopping = false;    ///< Stop() was called; the instance drains.
+	TimePoint stop_started;   ///< When the shutdown began.
+	bool ready_once = false;  ///< The readiness condition held once; it is not checked again.
+	bool listening = true;    ///< New connections are accepted.
+	size_t aborted_calls = 0; ///< Calls still open at the end.
 	struct Timer;
 	std::unique_ptr<Timer> timer; ///< Timer that drives OnTick().
 };
--- a/src/instance/order_keeper.h
+++ b/src/instance/order_controller.h
@@ -1,10 +1,10 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file order_keeper.h Orders with fencing tokens to the engines of the local hall, sent by the holder of the hall's lease. */
+/** @file order_controller.h Orders with fencing tokens to the engines of the local hall, sent by the holder of the hall's lease. */
 
 #pragma once
 
-#include "instance/target_watch.h"
+#include "instance/target_poller.h"
 #include "platform/platform_base.h"
 
 namespace cottonspool {
@@ -17,10 +17,12 @@
 };
 
 /** Competes for the hall's lease. While it holds the lease, orders each engine to the models and role that the configuration names. */
-class OrderKeeper {
+class OrderController {
 public:
-	OrderKeeper(HttpClient &client, Platform &platform, TargetWatch &watch, std::string hall, const std::string &holder, Duration length)
-	    : client(client), platform(platform), watch(watch), hall(std::move(hall)), lease(holder, length), length(length)
+	OrderController(HttpClient &client, Platform &platform, TargetPoller &poller, std::string hall, const std::string &holder,
+	                Duration lease_duration)
+	    : client(client), platform(platform), poller(poller), hall(std::move(hall)), lease(holder, lease_duration),
+	      lease_duration(lease_duration)
 	{
 	}
 
@@ -31,7 +33,7 @@
 	void Resign() { this->lease.Resign(); }
 
 	/** @return The state of the lease. */
-	const Lease &TheLease() const { return this->lease; }
+	const Lease &CurrentLease() const { return this->lease; }
 
 	/** @return The counters since the start. */
 	const OrderCounters &Counters() const { return this->counters; }
@@ -39,22 +41,22 @@
 private:
 	void AdvanceLease(uint64_t nonce, TimePoint now);
 	void WriteLease(uint64_t nonce);
-	void OrderIfDue(const std::string &name, const TargetRecord &record, TimePoint now);
+	void SendOrderIfDue(const std::string &name, const TargetRecord &record, TimePoint now);
 	std::string RowKey() const { return "lease/orders/" + this->hall; }
 
-	static constexpr Duration ORDER_LIMIT = std::chrono::seconds(2); ///< Timeout of one order, and least time before it is repeated.
-	static constexpr size_t MAX_ORDERS = 4;                          ///< Most concurrent orders, as each may load model weights.
+	static constexpr Duration ORDER_TIMEOUT = std::chrono::seconds(2); ///< Timeout of one order, and least time before it is repeated.
+	static constexpr size_t MAX_ORDERS = 4;                            ///< Most concurrent orders, as each may load model weights.
 
 	HttpClient &client;                          ///< Client that sends the orders.
 	Platform &platform;                          ///< Access to the table.
-	TargetWatch &watch;                          ///< Source of the engines' reported states.
+	TargetPoller &poller;                        ///< Source of the engines' reported states.
 	std::string hall;                            ///< Local hall.
 	Lease lease;                                 ///< Lease of the hall.
-	Duration length;                             ///< Duration of the lease.
-	bool busy = false;                           ///< A read or write of the lease's row is in progress.
+	Duration lease_duration;                     ///< Duration of the lease.
+	bool lease_request_pending = false;          ///< A read or write of the lease's row is in progress.
 	bool was_held = false;                       ///< Whether it was held at the last tick, to log transitions.
 	std::map<std::string, TimePoint> ordered_at; ///< Time of the last order to each engine.
-	size_t under_way = 0;                        ///< Orders without an answer yet.
+	size_t orders_in_flight = 0;                 ///< Orders without an answer yet.
 	OrderCounters counters;                      ///< Counters.
 };
 
--- a/src/instance/target_watch.h
+++ b/src/instance/target_poller.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_watch.h Polling of the targets' load reports. */
+/** @file target_poller.h Polling of the targets' load reports. */
 
 #pragma once
 
@@ -19,18 +19,18 @@
 };
 
 /** Polls the load reports of all targets that this instance uses. */
-class TargetWatch {
+class TargetPoller {
 public:
 	/** Receives each load report. */
 	using ReportHandler = std::function<void(TargetNumber, const LoadReport &)>;
 
-	TargetWatch(HttpClient &client, TargetTable &targets, NameTable<ModelNumber> &models, ReportHandler handler)
+	TargetPoller(HttpClient &client, TargetTable &targets, NameTable<ModelNumber> &models, ReportHandler handler)
 	    : client(client), targets(targets), models(models), handler(std::move(handler))
 	{
 	}
 
-	/** Apply a new configuration. Of more than \a watched targets per model, the name of \a instance selects a stable subset. */
-	void Configure(const ConfigurationState &configuration, const std::string &instance, const std::string &hall, size_t watched);
+	/** Apply a new configuration. Of more than \a max_per_model targets per model, the name of \a instance selects a stable subset. */
+	void Configure(const ConfigurationState &configuration, const std::string &instance, const std::string &hall, size_t max_per_model);
 
 	/** Request the reports that are due. */
 	void OnTick(TimePoint now, Duration period);
@@ -42,35 +42,35 @@
 	const ReportedState *Reported(const std::string &name) const;
 
 	/** @return Whether each target has answered its first poll, or failed to. */
-	bool IsSettled() const;
+	bool AllPolledOnce() const;
 
 	/** @return Number of valid reports received. */
 	uint64_t Reports() const { return this->reports; }
 
 	/** @return Number of polled targets. */
-	size_t Watched() const { return this->watches.size(); }
+	size_t PolledTargets() const { return this->targets_by_name.size(); }
 
 private:
 	/** One polled target. */
-	struct Watch {
-		TargetNumber number;    ///< Number in the target table.
-		TargetRecord record;    ///< Configuration record.
-		TimePoint due;          ///< Time of the next poll.
-		bool asking = false;    ///< A poll is in progress.
-		bool asked = false;     ///< The first poll has ended, with or without an answer.
-		ReportedState reported; ///< State from the last report.
+	struct PolledTarget {
+		TargetNumber number;          ///< Number in the target table.
+		TargetRecord record;          ///< Configuration record.
+		TimePoint next_poll;          ///< Time of the next poll.
+		bool request_pending = false; ///< A poll is in progress.
+		bool polled_once = false;     ///< The first poll has ended, with or without an answer.
+		ReportedState reported;       ///< State from the last report.
 	};
 
-	void Ask(const std::string &name, Watch &watch, Duration period);
-	void OnAnswer(const std::string &name, const std::string &body);
-	void ConfigureModels(const std::string &name, Watch &watch);
+	void RequestReport(const std::string &name, PolledTarget &polled, Duration period);
+	void OnReportBody(const std::string &name, const std::string &body);
+	void ConfigureModels(const std::string &name, PolledTarget &polled);
 
-	HttpClient &client;                   ///< Client for the polls.
-	TargetTable &targets;                 ///< Target table of the dispatcher.
-	NameTable<ModelNumber> &models;       ///< Numbers of models and services.
-	ReportHandler handler;                ///< Receives the reports.
-	std::map<std::string, Watch> watches; ///< Polled targets by name.
-	uint64_t reports = 0;                 ///< Valid reports received.
+	HttpClient &client;                                  ///< Client for the polls.
+	TargetTable &targets;                                ///< Target table of the dispatcher.
+	NameTable<ModelNumber> &models;                      ///< Numbers of models and services.
+	ReportHandler handler;                               ///< Receives the reports.
+	std::map<std::string, PolledTarget> targets_by_name; ///< Polled targets by name.
+	uint64_t reports = 0;                                ///< Valid reports received.
 };
 
 /** Parse a load report. @return Nothing if \a body is malformed. */
--- a/src/settings/settings_type.h
+++ b/src/settings/settings_type.h
@@ -66,8 +66,8 @@
 	std::string key;                  ///< "table.key"; durations end in "_ms" and are integers.
 	SettingPointer pointer;           ///< Member that holds the value.
 	std::string doc;                  ///< Description for the reference.
-	double least = 0;                 ///< Smallest allowed number.
-	double most = 1e15;               ///< Largest allowed number.
+	double min_value = 0;             ///< Smallest allowed number.
+	double max_value = 1e15;          ///< Largest allowed number.
 	std::vector<std::string> choices; ///< Allowed strings; empty allows any.
 	bool required = false;            ///< The setting must be present in the file.
 };
--- a/src/settings/toml_guard.h
+++ b/src/settings/toml_parser.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file toml_guard.h TOML parser for untrusted input, using toml++. */
+/** @file toml_parser.h TOML parser for untrusted input, using toml++. */
 
 #pragma once
 
--- a/src/tests/settings_test.cpp
+++ b/src/tests/settings_test.cpp
@@ -3,7 +3,7 @@
 /** @file settings_test.cpp Guards against invalid settings being accepted, crashes on malformed TOML, and an outdated docs/SETTINGS.md. */
 
 #include "settings/settings_type.h"
-#include "settings/toml_guard.h"
+#include "settings/toml_parser.h"
 #include <doctest/doctest.h>
 #include <fstream>
 #include <rapidcheck.h>
--- a/tests/runner/runner_func.h
+++ b/tests/runner/runner_func.h
@@ -16,10 +16,10 @@
 void RegisterHttp(lua_State *lua);
 
 /** Kill and reap all spawned processes that still run. */
-void EndProcesses();
+void KillProcesses();
 
 /** Join the threads of open calls. All processes have to be ended before, so that the calls end. */
-void EndCalls();
+void JoinCalls();
 
 /** Print the last lines of all logs in \a dir. */
 void PrintLogs(const std::string &dir);
--- a/tests/standins/engine_base.h
+++ b/tests/standins/engine_base.h
@@ -51,30 +51,30 @@
 	void AdmitWaiting();
 	void PreemptWhileFull();
 	void DropOrphans();
-	uint64_t Used() const;
+	uint64_t UsedTokens() const;
 	Json MakeReport();
 	Json Record() const;
 
-	uv_loop_t *loop;                              ///< Event loop.
-	std::string incarnation;                      ///< Incarnation; changes with each start.
-	std::map<std::string, GenerationPtr> known;   ///< All accepted generations by id.
-	std::set<std::string> refused_ids;            ///< Ids that were cancelled before their request arrived.
-	std::list<GenerationPtr> running;             ///< Generations in the current batch.
-	std::deque<GenerationPtr> waiting;            ///< Accepted or preempted generations outside of the batch.
-	std::deque<std::pair<int64_t, Json>> reports; ///< Recent reports with their times; the oldest is the one given out.
-	uint64_t report_sequence = 0;                 ///< Number of reports made.
-	uint64_t preemptions = 0;                     ///< Number of preemptions.
-	std::set<std::string> models;                 ///< Loaded models.
-	std::string role = "serve";                   ///< Role, set by orders.
-	uint64_t highest_epoch = 0;                   ///< Highest fencing token received.
-	Json orders = Json::array();                  ///< Executed orders.
-	std::deque<uint64_t> prefixes;                ///< Hashes of cached prefixes.
-	bool leaving = false;                         ///< The reports announce that the engine drains.
-	int64_t leaving_since = 0;                    ///< When that was announced; 0 for never.
-	bool reports_frozen = false;                  ///< Unused.
-	double slow_factor = 1;                       ///< Factor on the duration of a step.
-	int64_t next_step = 0;                        ///< Due time of the next step.
-	Json record = Json::array();                  ///< Accepted generations with their times.
+	uv_loop_t *loop;                                        ///< Event loop.
+	std::string incarnation;                                ///< Incarnation; changes with each start.
+	std::map<std::string, GenerationPtr> known_generations; ///< All accepted generations by id.
+	std::set<std::string> cancelled_ids;                    ///< Ids that were cancelled before their request arrived.
+	std::list<GenerationPtr> running;                       ///< Generations in the current batch.
+	std::deque<GenerationPtr> waiting;                      ///< Accepted or preempted generations outside of the batch.
+	std::deque<std::pair<int64_t, Json>> reports;           ///< Recent reports with their times; the oldest is the one given out.
+	uint64_t report_sequence = 0;                           ///< Number of reports made.
+	uint64_t preemptions = 0;                               ///< Number of preemptions.
+	std::set<std::string> models;                           ///< Loaded models.
+	std::string role = "serve";                             ///< Role, set by orders.
+	uint64_t highest_epoch = 0;                             ///< Highest fencing token received.
+	Json orders = Json::array();                            ///< Executed orders.
+	std::deque<uint64_t> prefixes;                          ///< Hashes of cached prefixes.
+	bool draining = false;                                  ///< The reports announce that the engine drains.
+	int64_t draining_since = 0;                             ///< When that was announced; 0 for never.
+	bool reports_frozen = false;                            ///< Unused.
+	double slow_factor = 1;                                 ///< Factor on the duration of a step.
+	int64_t next_step = 0;                                  ///< Due time of the next step.
+	Json record = Json::array();                            ///< Accepted generations with their times.
 };
 
 } // namespace cottonspool
--- a/tests/standins/world_base.h
+++ b/tests/standins/simulation_base.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file world_base.h Simulation of the users' platform: a store with a change feed, engines and services. */
+/** @file simulation_base.h Simulation of the users' platform: a store with a change feed, engines and services. */
 
 #pragma once
 
@@ -14,9 +14,9 @@
 using Exchange = std::shared_ptr<FrontExchange>;
 
 /** The platform's store: versioned rows, a long-polling change feed, and simulated outages. */
-class WorldStore {
+class SimulatedStore {
 public:
-	explicit WorldStore(uv_loop_t *loop) : loop(loop) {}
+	explicit SimulatedStore(uv_loop_t *loop) : loop(loop) {}
 
 	/** Write a row. */
 	void Put(const std::string &table, const std::string &key, const std::string &value);
@@ -28,19 +28,19 @@
 	bool Handle(const Exchange &exchange);
 
 	/** Back up all rows. */
-	void TakeCopy();
+	void TakeBackup();
 
 	/** Restore the backup: later writes are lost and their versions are assigned again. Waiting requests are reset. */
-	void ReturnFromCopy();
+	void RestoreBackup();
 
 	/** Write again the rows of \a table that a restore lost or reverted. */
-	void WriteAgain(const std::string &table);
+	void RewriteRows(const std::string &table);
 
 	std::string mode = "up"; ///< "up", "busy" (503), "silent" (no answer), "away" (reset), "compact" (history compacted, once) or "lose"
 	                         ///< (writes take effect without an answer).
 	int64_t slow_ms = 0;     ///< Delay of answers, in milliseconds.
-	std::map<std::string, std::string> shown_as; ///< Replacements for addresses in rows, to route connections through a proxy.
-	uint64_t calls = 0;                          ///< Number of received requests.
+	std::map<std::string, std::string> address_overrides; ///< Replacements for addresses in rows, to route connections through a proxy.
+	uint64_t calls = 0;                                   ///< Number of received requests.
 
 private:
 	/** One row; a deleted one is kept for the feed. */
@@ -61,7 +61,7 @@
 	using Tables = std::map<std::string, std::map<std::string, Row>>;
 
 	/** Content of a backup. */
-	struct Copy {
+	struct Backup {
 		Tables tables;        ///< All rows.
 		uint64_t version = 0; ///< Version counter.
 	};
@@ -69,25 +69,25 @@
 	void Reply(const Exchange &exchange, int status, const Json &body) const;
 	HttpHeaders Headers() const;
 	Json RowsOf(const std::string &table, uint64_t since, bool with_deleted) const;
-	std::string Shown(const std::string &value) const;
+	std::string WithAddressOverrides(const std::string &value) const;
 	void Answer(const Exchange &exchange);
 	void Get(const Exchange &exchange, const std::string &query);
 	void Feed(const Exchange &exchange, const std::string &query);
 	void Transact(const Exchange &exchange);
-	void WakeAll();
+	void AnswerWaiting();
 
 	uv_loop_t *loop;            ///< Event loop.
 	Tables tables;              ///< Rows by table and key.
 	uint64_t version = 0;       ///< Version counter of the store.
-	uint64_t era = 1;           ///< Increases with each restore.
-	Copy copy;                  ///< Last backup.
+	uint64_t epoch = 1;         ///< Increases with each restore.
+	Backup backup;              ///< Last backup.
 	Tables newest;              ///< Last write of each row, including writes that a restore lost.
 	std::list<Waiting> waiting; ///< Waiting feed requests, and requests that never get an answer.
-	bool ticking = false;       ///< The timer for waiting requests was started.
+	bool timer_running = false; ///< The timer for waiting requests was started.
 };
 
 /** Events recorded by all targets, for the checks of scenarios. */
-struct WorldRecord {
+struct SimulationRecord {
 	Json runs = Json::array();                                      ///< Executed requests: request, target, resumed.
 	Json late = Json::array();                                      ///< Requests that arrived long after the target announced its drain.
 	std::map<std::string, std::pair<std::string, uint64_t>> copies; ///< KV cache copies by handle: request and number of events.
@@ -102,9 +102,10 @@
 };
 
 /** A simulated engine or service. */
-class WorldTarget {
+class SimulatedTarget {
 public:
-	WorldTarget(uv_loop_t *loop, WorldStore &store, WorldRecord &record, std::string id, std::string pool, std::string hall, bool engine);
+	SimulatedTarget(uv_loop_t *loop, SimulatedStore &store, SimulationRecord &record, std::string id, std::string pool, std::string hall,
+	                bool engine);
 
 	/** Start listening and write the target's row. */
 	void Start();
@@ -116,10 +117,10 @@
 	bool IsAlive() const { return this->front != nullptr; }
 
 	/** Start draining. @param silently Delete the row instead of changing its state. */
-	void Leave(bool silently);
+	void StartDraining(bool silently);
 
 	/** Start draining, announced only in answer headers. */
-	void SayLeaving();
+	void DrainByHeader();
 
 	/** Stop for good: reset all connections and delete the row. */
 	void Kill();
@@ -131,14 +132,14 @@
 	void Hang();
 
 	/** Write the row, as a heartbeat does. */
-	void Beat();
+	void WriteHeartbeat();
 
-	std::string id;       ///< Name; the key of its row.
-	int64_t cold_ms = 0;  ///< Remaining cold start time written to the row, in milliseconds.
-	double fail_part = 0; ///< Fraction of answers that are 500.
-	std::string garble;   ///< "reset" truncates and resets answers; empty for none.
-	std::string limit;    ///< Rate limit announced in answers; empty for none.
-	int64_t pause_ms = 0; ///< Pause to request with the next rejection, in milliseconds; 0 for none.
+	std::string id;         ///< Name; the key of its row.
+	int64_t cold_ms = 0;    ///< Remaining cold start time written to the row, in milliseconds.
+	double error_ratio = 0; ///< Fraction of answers that are 500.
+	std::string corruption; ///< "reset" truncates and resets answers; empty for none.
+	std::string limit;      ///< Rate limit announced in answers; empty for none.
+	int64_t pause_ms = 0;   ///< Pause to request with the next rejection, in milliseconds; 0 for none.
 
 private:
 	/** A running generation. */
@@ -151,32 +152,32 @@
 	};
 
 	void Listen();
-	void CrashUnder(const std::string &attempt);
+	void CrashDuring(const std::string &attempt);
 	void Handle(const Exchange &exchange);
 	void Generate(const Exchange &exchange, const std::string &attempt);
 	void Begin(Run run);
 	void Serve(const Exchange &exchange, const std::string &attempt);
 	HttpHeaders Headers(const std::string &attempt);
-	bool TurnAway(const Exchange &exchange, const std::string &attempt);
-	void Move(const Exchange &exchange);
+	bool RejectWhilePaused(const Exchange &exchange, const std::string &attempt);
+	void MigrateRun(const Exchange &exchange);
 	void Step();
 
-	uv_loop_t *loop;                                ///< Event loop.
-	WorldStore &store;                              ///< Store of the platform.
-	WorldRecord &record;                            ///< Shared record of events.
-	std::string pool;                               ///< Pool that the target belongs to.
-	std::string hall;                               ///< Data hall.
-	bool engine;                                    ///< It is an engine, which streams its answers.
-	std::unique_ptr<HttpFront> front;               ///< HTTP server; null while stopped.
-	std::vector<std::unique_ptr<HttpFront>> silent; ///< HTTP servers of previous incarnations, whose connections stay open.
-	uint16_t port = 0;                              ///< Port of the current or last incarnation.
-	std::list<Run> running;                         ///< Running generations.
-	bool leaving = false;                           ///< The row announces the drain.
-	bool says_leaving = false;                      ///< Only answer headers announce the drain.
-	int64_t left_at = 0;                            ///< When the drain was announced; 0 for not yet.
-	int64_t paused_until = 0;                       ///< End of the requested pause.
-	uint64_t answers = 0;                           ///< Counter of answers and rows.
-	int64_t born = 0;                               ///< Start time of this incarnation.
+	uv_loop_t *loop;                                     ///< Event loop.
+	SimulatedStore &store;                               ///< Store of the platform.
+	SimulationRecord &record;                            ///< Shared record of events.
+	std::string pool;                                    ///< Pool that the target belongs to.
+	std::string hall;                                    ///< Data hall.
+	bool engine;                                         ///< It is an engine, which streams its answers.
+	std::unique_ptr<HttpFront> front;                    ///< HTTP server; null while stopped.
+	std::vector<std::unique_ptr<HttpFront>> hung_fronts; ///< HTTP servers of previous incarnations, whose connections stay open.
+	uint16_t port = 0;                                   ///< Port of the current or last incarnation.
+	std::list<Run> running;                              ///< Running generations.
+	bool draining = false;                               ///< The row announces the drain.
+	bool drains_by_header = false;                       ///< Only answer headers announce the drain.
+	int64_t drain_started_at = 0;                        ///< When the drain was announced; 0 for not yet.
+	int64_t paused_until = 0;                            ///< End of the requested pause.
+	uint64_t answers = 0;                                ///< Counter of answers and rows.
+	int64_t started_at = 0;                              ///< Start time of this incarnation.
 };
 
 } // namespace cottonspool
--- a/tests/standins/standin_func.h
+++ b/tests/standins/standin_func.h
@@ -20,7 +20,7 @@
 }
 
 /** @return The request body as JSON; an empty object if it is no JSON object. */
-inline Json Body(const HttpExchange &exchange)
+inline Json JsonBody(const HttpExchange &exchange)
 {
 	Json body = Json::parse(exchange.request.body, nullptr, false);
 	return body.is_object() ? body : Json::object();
@@ -45,12 +45,12 @@
 /** Call \a run on \a loop once, after \a delay_ms. */
 void After(uv_loop_t *loop, uint64_t delay_ms, std::function<void()> run);
 
-int RunEngine(uv_loop_t *loop);   ///< Stand-in for a model engine.
-int RunService(uv_loop_t *loop);  ///< Stand-in for a service.
-int RunPlatform(uv_loop_t *loop); ///< Stand-in for the platform: table, object store and instance list.
-int RunRelay(uv_loop_t *loop);    ///< TCP proxy that injects network faults.
-int RunWorld(uv_loop_t *loop);    ///< Simulation of the users' platform: store, engines and services.
-int RunCallers(uv_loop_t *loop);  ///< Load generator that verifies each answer.
+int RunEngine(uv_loop_t *loop);             ///< Stand-in for a model engine.
+int RunService(uv_loop_t *loop);            ///< Stand-in for a service.
+int RunPlatform(uv_loop_t *loop);           ///< Stand-in for the platform: table, object store and instance list.
+int RunRelay(uv_loop_t *loop);              ///< TCP proxy that injects network faults.
+int RunPlatformSimulation(uv_loop_t *loop); ///< Simulation of the users' platform: store, engines and services.
+int RunCallers(uv_loop_t *loop);            ///< Load generator that verifies each answer.
 
 /** Run an HTTP server with \a handler at --ip and --port until the process is killed. @return Exit code. */
 int Serve(uv_loop_t *loop, HttpServer::Handler handler);
