--- a/src/instance/call.cpp
+++ b/src/instance/call.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call.cpp One caller's request: what all kinds share. */
+/** @file call.cpp Base class of the calls that an instance handles for callers. */
 
 #include "instance/call_base.h"
 #include "instance/completion_request.h"
@@ -20,8 +20,8 @@
 	this->InstallCloseHandler();
 	if (!this->spec.repeatable && !this->instance.IsConfigurationFresh()) {
 		return this->Fail({503, "configuration-stale",
-		                   "this instance cannot confirm its configuration; calls that must not be repeated wait", ExecutionState::No,
-		                   this->instance.settings.dispatch.retry_after_min});
+		                   "the configuration could not be confirmed recently; requests that must not be repeated are rejected meanwhile",
+		                   ExecutionState::No, this->instance.settings.dispatch.retry_after_min});
 	}
 	if (this->idempotency_key.empty()) return this->Submit();
 	this->BeginClaim();
@@ -33,8 +33,8 @@
 	this->exchange->on_closed = [weak] {
 		auto call = weak.lock();
 		if (!call || call->concluded) return;
-		call->Trace("caller gone");
-		if (!call->spec.repeatable && call->sent) return; // Its result is recorded whether or not the caller waits.
+		call->Trace("caller disconnected");
+		if (!call->spec.repeatable && call->sent) return; // Let it finish, as its result is recorded in the claim.
 		call->concluded = true;
 		call->OnCallerDisconnected();
 		if (call->submitted && !call->sent) call->instance.dispatcher.CancelWaiting(call->spec.id);
@@ -75,11 +75,11 @@
 		case ClaimStep::Mismatch:
 			return call->Fail({422, "key-reused", "this Idempotency-Key was used for another request", ExecutionState::No, std::nullopt});
 		case ClaimStep::Busy:
-			return call->Fail({409, "key-in-use", "a request with this key was taken before; its result is not recorded",
+			return call->Fail({409, "key-in-use", "an earlier request with this Idempotency-Key has no recorded result",
 			                   ExecutionState::Unknown, soon});
 		default:
-			return call->Fail(
-			        {503, "table-unavailable", "the platform's table cannot be reached; nothing was sent", ExecutionState::No, 4 * soon});
+			return call->Fail({503, "table-unavailable", "the platform's table is unreachable; the request was not sent",
+			                   ExecutionState::No, 4 * soon});
 		}
 	};
 	this->instance.claims.Acquire(this->idempotency_key, this->claim_nonce, this->request_hash, done);
@@ -89,6 +89,7 @@
 {
 	this->submitted = true;
 	TimePoint now = MonotonicNow();
+	// The time spent on the claim does not count against the deadline.
 	Duration waited = now - this->spec.arrived;
 	if (waited > std::chrono::milliseconds(1)) this->spec.deadline += waited;
 	this->instance.Execute(this->instance.dispatcher.Submit(this->spec, now));
@@ -100,7 +101,7 @@
 	int status = action.reason == RejectReason::QueueFull ? 429 : 503;
 	this->instance.metrics.Count(std::string("cottonspool_refused_total{reason=\"") + RejectReasonName(action.reason) + "\"}");
 	this->sent = false;
-	this->Fail({status, RejectReasonName(action.reason), "given up before an answer could be made", ran, action.retry_after});
+	this->Fail({status, RejectReasonName(action.reason), "the request was abandoned before it was answered", ran, action.retry_after});
 }
 
 void Call::OnTick(TimePoint)
--- a/src/instance/call_trace.cpp
+++ b/src/instance/call_trace.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file call_trace.cpp What was decided for each of the last calls. */
+/** @file call_trace.cpp Traces of recent calls. */
 
 #include "instance/call_trace.h"
 
--- a/src/instance/completion_call.cpp
+++ b/src/instance/completion_call.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file completion_call.cpp One model generation for one caller. */
+/** @file completion_call.cpp A completion request, from sending it to an engine to its answer. */
 
 #include "instance/completion_call.h"
 #include "instance/instance.h"
@@ -8,10 +8,10 @@
 
 namespace cottonspool {
 
-static constexpr Duration RESUME_DELAY_STEP = std::chrono::milliseconds(100); ///< Pause before each further resume, times their number.
-static constexpr uint32_t MAX_RESUME_DELAY_STEPS = 10;                        ///< Pauses after which the pause no longer grows.
-static constexpr double EXPECTED_TOKEN_INTERVAL_S = 0.2;                      ///< Seconds between tokens beyond which the caller stalls.
-static constexpr size_t MAX_CANCEL_ANSWER = 4096;                             ///< Largest answer to a cancel taken.
+static constexpr Duration RESUME_DELAY_STEP = std::chrono::milliseconds(100); ///< Added to the delay with each further attempt to resume.
+static constexpr uint32_t MAX_RESUME_DELAY_STEPS = 10;                        ///< Attempts after which the delay no longer grows.
+static constexpr double EXPECTED_TOKEN_INTERVAL_S = 0.2; ///< Interval between tokens, in seconds, above which a stall is counted.
+static constexpr size_t MAX_CANCEL_ANSWER = 4096;        ///< Largest accepted answer to a cancellation, in bytes.
 
 CompletionCall::CompletionCall(Instance &instance, std::shared_ptr<HttpExchange> exchange, CallSpec spec, std::string request_name,
                                std::string account_name, CompletionRequest request)
@@ -66,7 +66,7 @@
 		if (self && !self->concluded) run(*self);
 	};
 	call.connect_timeout = this->instance.settings.call.connect;
-	// Until the first token the engine may be queueing; from then on silence is a stall.
+	// Before the first token the request may be queued at the engine, which is no stall.
 	call.idle_timeout = this->ledger.Delivered() == 0 ? this->instance.settings.call.first_byte : this->instance.settings.call.stall;
 	call.on_head = [with_self](int status, const HttpHeaders &headers) {
 		with_self([&](CompletionCall &self) { self.OnHead(status, headers); });
@@ -91,10 +91,10 @@
 	this->instance.client.Cancel(ended);
 	if (this->carries_request) {
 		this->Trace("engine answered " + std::to_string(status));
-		if (refused) return this->OnGenerationLost("refused by " + this->engine_name, true);
+		if (refused) return this->OnGenerationLost("rejected by " + this->engine_name, true);
 		return this->CancelLostGeneration("engine answered " + std::to_string(status));
 	}
-	// The generation is no longer known there: it was lost with the engine's memory, or never began.
+	// The engine no longer knows the generation, so it cannot be resumed.
 	this->CancelLostGeneration("generation lost at " + this->engine_name);
 }
 
@@ -106,7 +106,7 @@
 		this->OnEvent(*event);
 		if (this->concluded || this->http_call == 0) return;
 	}
-	if (!fits) this->OnStreamLost("event too long", false);
+	if (!fits) this->OnStreamLost("event exceeds the size limit", false);
 }
 
 void CompletionCall::OnEvent(const SseEvent &event)
@@ -219,7 +219,7 @@
 		this->http_call = 0;
 		this->instance.client.Cancel(ended);
 	}
-	this->Trace("link lost after token " + std::to_string(this->ledger.Delivered()) + ": " + why);
+	this->Trace("stream lost after token " + std::to_string(this->ledger.Delivered()) + ": " + why);
 	if (certainly_not_sent) return this->OnGenerationLost("cannot reach " + this->engine_name, true);
 	this->ScheduleResume(MonotonicNow());
 }
@@ -227,7 +227,8 @@
 void CompletionCall::ScheduleResume(TimePoint now)
 {
 	if (this->stream_lost_since == TimePoint{}) this->stream_lost_since = now;
-	if (now - this->stream_lost_since > this->instance.settings.call.resume) return this->CancelLostGeneration("not resumed in time");
+	if (now - this->stream_lost_since > this->instance.settings.call.resume)
+		return this->CancelLostGeneration("stream not resumed in time");
 	this->resume_at = now + RESUME_DELAY_STEP * std::min(this->resumes, MAX_RESUME_DELAY_STEPS);
 	this->resumes++;
 	if (this->resumes == 1) this->Resume();
@@ -254,7 +255,7 @@
 void CompletionCall::CancelLostGeneration(const std::string &why)
 {
 	this->resume_at = TimePoint{};
-	this->Trace("generation given up: " + why);
+	this->Trace("generation cancelled: " + why);
 	auto body = std::make_shared<std::string>();
 	std::weak_ptr<Call> weak = this->weak_from_this();
 	HttpCall call;
@@ -275,7 +276,7 @@
 void CompletionCall::OnCancelAnswer(const std::string &why, const HttpCallResult &end, const std::string &body)
 {
 	nlohmann::json answer = nlohmann::json::parse(body, nullptr, false);
-	// "Not begun" is believed only from the very start of the engine that the request was sent to.
+	// After a restart the engine does not know what it ran before, so "not begun" counts only from the same incarnation.
 	bool answered = end.kind == HttpCallOutcome::Answered && end.status == 200 && answer.is_object();
 	bool same = answered && !this->engine_incarnation.empty() && answer.value("incarnation", "") == this->engine_incarnation;
 	bool not_begun = same && answer.contains("began") && answer["began"] == false;
@@ -295,12 +296,12 @@
 		this->ledger.Reset();
 		return this->FinishSend(certainly_not_run ? SendOutcome::NotExecuted : SendOutcome::Lost);
 	}
-	CallFailure failure{502, "generation-lost", why + "; the answer is not complete", ran ? ExecutionState::Yes : ExecutionState::Unknown,
+	CallFailure failure{502, "generation-lost", why + "; the answer is incomplete", ran ? ExecutionState::Yes : ExecutionState::Unknown,
 	                    std::nullopt};
 	if (shown) {
 		this->exchange->Write(FormatFailureEvent(failure, this->request_name));
 		this->exchange->Finish();
-		this->Trace("stream ended incomplete");
+		this->Trace("incomplete stream ended with an error event");
 		this->instance.metrics.Count("cottonspool_streams_incomplete_total");
 	}
 	this->FinishSend(SendOutcome::LostAfterDelivery);
--- a/tests/standins/simulation.cpp
+++ b/tests/standins/simulation.cpp
@@ -1,25 +1,25 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file simulation.cpp Engines and services of the users' platform in small, and the control of the whole world. */
+/** @file simulation.cpp Simulation of the users' platform: engines, services, and the control interface for scenarios. */
 
 #include "simulation_base.h"
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_int32(engines, 4, "world: engines");
-DEFINE_int32(services, 2, "world: plain services");
-DEFINE_int32(event_ms, 20, "world: time between events of a stream");
+DEFINE_int32(engines, 4, "world: number of engines");
+DEFINE_int32(services, 2, "world: number of services");
+DEFINE_int32(event_ms, 20, "world: interval between events of a stream, in milliseconds");
 
 namespace cottonspool {
 
-static constexpr uint64_t STEP_MS = 5;                ///< Time between looks at running generations.
-static constexpr int64_t NOTICE_MS = 1500;            ///< Time after a notice from which a new request is too late.
-static constexpr uint64_t KV_COPY_MS = 40;            ///< Time that a copy of a run's memory takes.
-static constexpr uint64_t RESUME_MS = 80;             ///< Time until a run that was moved makes its next event.
-static constexpr uint64_t MEMORY_TOKENS = 40000;      ///< Memory told in reports.
-static constexpr uint64_t CRASH_DELAY_MS = 40;        ///< Time for which a target lives that has begun a request that ends it.
-static constexpr uint64_t RESTART_DELAY_MS = 1500;    ///< Time until it is back.
-static const char *const CRASH_BODY_PREFIX = "crash"; ///< Body that such a request begins with.
+static constexpr uint64_t STEP_MS = 5;                ///< Interval of the timer for running generations.
+static constexpr int64_t NOTICE_MS = 1500;            ///< Time after a drain announcement from which new requests are recorded as late.
+static constexpr uint64_t KV_COPY_MS = 40;            ///< Duration of copying a run's KV cache.
+static constexpr uint64_t RESUME_MS = 80;             ///< Time until a migrated run sends its next event.
+static constexpr uint64_t MEMORY_TOKENS = 40000;      ///< Memory size in load reports.
+static constexpr uint64_t CRASH_DELAY_MS = 40;        ///< Time until a request with a crash body crashes the target.
+static constexpr uint64_t RESTART_DELAY_MS = 1500;    ///< Time until a crashed target restarts.
+static const char *const CRASH_BODY_PREFIX = "crash"; ///< Beginning of the body of requests that crash the target.
 static const char *const HALLS[] = {"hall-a", "hall-b"};
 
 SimulatedTarget::SimulatedTarget(uv_loop_t *loop, SimulatedStore &store, SimulationRecord &record, std::string id, std::string pool,
@@ -152,7 +152,7 @@
 	if (!this->limit.empty()) headers.push_back({"Server-Limit", this->limit});
 	if (!this->drains_by_header) return headers;
 	headers.push_back({"Server-Leaving", "1"});
-	// Nobody could know before the first answer that says so.
+	// The drain counts from the first answer that announces it.
 	if (this->drain_started_at == 0) this->drain_started_at = NowMs();
 	return headers;
 }
@@ -195,7 +195,7 @@
 	this->record.runs.push_back(
 	        {{"request", attempt}, {"target", this->id}, {"hall", this->hall}, {"resumed", !from.empty()}, {"at", NowMs()}});
 	if (!from.empty()) this->record.resumed_at[attempt] = NowMs();
-	// A run that goes on elsewhere takes a moment to begin there: its old engine makes further events meanwhile.
+	// A migrated run starts with a delay, during which its previous engine keeps generating.
 	if (from.empty()) return this->Begin(std::move(run));
 	After(this->loop, RESUME_MS, [this, run] {
 		if (!run.exchange->IsOver()) this->Begin(run);
@@ -252,7 +252,7 @@
 	});
 }
 
-/** The whole world: store, targets, and their control. */
+/** The simulation: store, targets, and the control interface. */
 class PlatformSimulation {
 public:
 	explicit PlatformSimulation(uv_loop_t *loop)
@@ -260,7 +260,7 @@
 	{
 	}
 
-	/** Start everything. */
+	/** Start all targets and the control interface. */
 	void Start()
 	{
 		for (int i = 0; i < FLAGS_engines; i++) this->AddTarget("engine-" + std::to_string(i), "engines", HALLS[i % 2], true);
@@ -333,11 +333,11 @@
 		exchange->Respond(200, {}, "{}");
 	}
 
-	uv_loop_t *loop;                                                 ///< Loop.
-	SimulatedStore store;                                            ///< Store.
-	SimulationRecord record;                                         ///< What ran.
+	uv_loop_t *loop;                                                 ///< Event loop.
+	SimulatedStore store;                                            ///< Store of the platform.
+	SimulationRecord record;                                         ///< Recorded events.
 	std::map<std::string, std::unique_ptr<SimulatedTarget>> targets; ///< Targets by name.
-	HttpFront front;                                                 ///< Store and control.
+	HttpFront front;                                                 ///< HTTP server of the store and the control interface.
 };
 
 int RunPlatformSimulation(uv_loop_t *loop)
