--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -24,9 +24,9 @@
 	double link_mbps = 0; ///< Speed of this instance's link, told to the others, in Mbit/s; 0 if unknown.
 	Duration urgent_interval_per_link = std::chrono::microseconds(500); ///< Pause between urgent news for each link: with many peers
 	                                                                    ///< several go out together, as each costs each of them a wake-up.
-	bool publish_calls = true;                                  ///< Tell the others where own calls run.
-	bool publish_hall_load = true;                              ///< Halls tell each other sums of their targets' load.
-	Duration hall_load_period = std::chrono::milliseconds(150); ///< Least time between such sums.
+	bool publish_calls = true;                                          ///< Tell the others where own calls run.
+	bool publish_hall_load = true;                                      ///< Halls tell each other sums of their targets' load.
+	Duration hall_load_period = std::chrono::milliseconds(150);         ///< Least time between such sums.
 	/** Time between sums for each of them: some 10 KB a second from each hall at most, of 25 bytes a sum. With 1,000 engines a hall and
 	 *  100 instances that a relay passes them on to, 8 Mbit/s from each hall (by arithmetic). */
 	Duration hall_load_interval_per_sum = std::chrono::microseconds(2500);
@@ -44,8 +44,8 @@
 	Duration list_timeout = std::chrono::milliseconds(300);      ///< Time after the start at which tables are read though nobody is known.
 	Duration list_settle_time = std::chrono::milliseconds(1500); ///< At the first start of all: time without a new instance after which
 	                                                             ///< they are taken for complete.
-	Duration list_max_wait = std::chrono::seconds(8); ///< Longest wait for that.
-	Duration table_timeout = std::chrono::seconds(3); ///< Time after which a table that nobody tells is read here.
+	Duration list_max_wait = std::chrono::seconds(8);            ///< Longest wait for that.
+	Duration table_timeout = std::chrono::seconds(3);            ///< Time after which a table that nobody tells is read here.
 	Duration table_timeout_per_instance =
 	        std::chrono::milliseconds(250); ///< Further time for each instance that comes before in the order of readers.
 	Duration readers_refresh_interval = std::chrono::milliseconds(200); ///< Time between looks at who reads for whom.
--- a/src/platform/wire_request.h
+++ b/src/platform/wire_request.h
@@ -56,7 +56,7 @@
 struct AnswerInfo {
 	std::string attempt;            ///< Id of the attempt that it answers; empty if there is none.
 	bool not_executed = false;      ///< The request was certainly not executed.
-	bool stamped = false;           ///< The target's stamp is present: the answer is not from a proxy.
+	bool stamped = false;           ///< The target's stamp is present.
 	std::optional<TargetLoad> load; ///< Load of the target, if reported.
 	TargetSignals signals;          ///< Other signals of the target.
 };
