--- a/src/instance/call.cpp
+++ b/src/instance/call.cpp
@@ -61,7 +61,7 @@
 			return;
 		}
 		call->Trace("claim: " + std::string(step == ClaimStep::Proceed ? "ours" : "not ours"));
-		Duration soon = call_instance.settings.dispatch.retry_after_min;
+		Duration retry_delay = call_instance.settings.dispatch.retry_after_min;
 		switch (step) {
 		case ClaimStep::Proceed:
 			call->claim_version = row.version;
@@ -76,10 +76,10 @@
 			return call->Fail({422, "key-reused", "this Idempotency-Key was used for another request", ExecutionState::No, std::nullopt});
 		case ClaimStep::Busy:
 			return call->Fail({409, "key-in-use", "an earlier request with this Idempotency-Key has no recorded result",
-			                   ExecutionState::Unknown, soon});
+			                   ExecutionState::Unknown, retry_delay});
 		default:
 			return call->Fail({503, "table-unavailable", "the platform's table is unreachable; the request was not sent",
-			                   ExecutionState::No, 4 * soon});
+			                   ExecutionState::No, 4 * retry_delay});
 		}
 	};
 	this->instance.claims.Acquire(this->idempotency_key, this->claim_nonce, this->request_hash, done);
@@ -101,7 +101,8 @@
 	int status = action.reason == RejectReason::QueueFull ? 429 : 503;
 	this->instance.metrics.Count(std::string("cottonspool_refused_total{reason=\"") + RejectReasonName(action.reason) + "\"}");
 	this->sent = false;
-	this->Fail({status, RejectReasonName(action.reason), "the request was abandoned before it was answered", ran, action.retry_after});
+	this->Fail({status, RejectReasonName(action.reason), "the instance rejected the request before a target answered it", ran,
+	            action.retry_after});
 }
 
 void Call::OnTick(TimePoint)
--- a/src/instance/call_base.h
+++ b/src/instance/call_base.h
@@ -33,7 +33,7 @@
 	/** The dispatcher has assigned a target: send the request there. */
 	virtual void OnSend(const SendAction &action) = 0;
 
-	/** The dispatcher has abandoned the call: answer the caller with the reason. */
+	/** The dispatcher has rejected the call: answer the caller with the reason. */
 	void OnReject(const RejectAction &action);
 
 	/** Do periodic work; called for every open call by the instance's timer. */
--- a/src/instance/claim_store.cpp
+++ b/src/instance/claim_store.cpp
@@ -117,9 +117,9 @@
 
 void ClaimStore::OnTick()
 {
-	std::deque<Settlement> again;
-	again.swap(this->unsettled);
-	for (Settlement &settlement : again) {
+	std::deque<Settlement> retries;
+	retries.swap(this->unsettled);
+	for (Settlement &settlement : retries) {
 		if (++settlement.tries > MAX_TRIES) continue;
 		this->TrySettle(std::move(settlement));
 	}
--- a/src/instance/claim_store.h
+++ b/src/instance/claim_store.h
@@ -41,7 +41,9 @@
 		int tries = 0;   ///< Attempts so far.
 	};
 
+	/** Execute the next step of an acquisition. */
 	void Advance(const std::string &key, const std::shared_ptr<Claim> &claim, const ClaimDone &done);
+	/** Find the row's version if it is unknown, then write the settlement. */
 	void TrySettle(Settlement settlement);
 	void WriteSettlement(Settlement settlement, const std::string &version);
 
--- a/src/instance/completion_call.cpp
+++ b/src/instance/completion_call.cpp
@@ -85,13 +85,13 @@
 		this->accepted_by_engine = true;
 		return;
 	}
-	bool refused = FindHeader(headers, "Cottonspool-Ran") == "no";
-	uint64_t ended = this->http_call;
+	bool rejected = FindHeader(headers, "Cottonspool-Ran") == "no";
+	uint64_t previous_call = this->http_call;
 	this->http_call = 0;
-	this->instance.client.Cancel(ended);
+	this->instance.client.Cancel(previous_call);
 	if (this->carries_request) {
 		this->Trace("engine answered " + std::to_string(status));
-		if (refused) return this->OnGenerationLost("rejected by " + this->engine_name, true);
+		if (rejected) return this->OnGenerationLost("rejected by " + this->engine_name, true);
 		return this->CancelLostGeneration("engine answered " + std::to_string(status));
 	}
 	// The engine no longer knows the generation, so it cannot be resumed.
@@ -150,13 +150,13 @@
 	this->stream_lost_since = TimePoint{};
 	this->resumes = 0;
 	this->instance.dispatcher.OnToken(this->spec.id, now);
-	std::optional<CompletionChunk> piece = ParseCompletionChunk(event.data);
-	if (piece && !piece->finish_reason.empty()) {
-		this->finish_reason = piece->finish_reason;
+	std::optional<CompletionChunk> parsed_chunk = ParseCompletionChunk(event.data);
+	if (parsed_chunk && !parsed_chunk->finish_reason.empty()) {
+		this->finish_reason = parsed_chunk->finish_reason;
 		this->finished = true;
 	}
 	if (!this->request.stream) {
-		if (piece) this->text += piece->text;
+		if (parsed_chunk) this->text += parsed_chunk->text;
 		return;
 	}
 	if (!this->exchange->IsStarted()) {
@@ -186,9 +186,9 @@
 
 void CompletionCall::Complete()
 {
-	uint64_t ended = this->http_call;
+	uint64_t previous_call = this->http_call;
 	this->http_call = 0;
-	this->instance.client.Cancel(ended);
+	this->instance.client.Cancel(previous_call);
 	this->instance.metrics.Observe(Measure::StallSeconds, this->account_name, this->spec.service_class, this->stall_seconds);
 	this->instance.metrics.Count("cottonspool_tokens_total", this->ledger.Delivered());
 	this->Trace("complete after " + std::to_string(this->ledger.Delivered()) + " tokens");
@@ -201,7 +201,7 @@
 		this->exchange->Respond(
 		        200, {{"content-type", "application/json"}, {"Cottonspool-Ran", "yes"}, {"Cottonspool-Request", this->request_name}}, body);
 	}
-	auto keep = this->shared_from_this();
+	auto keep_alive = this->shared_from_this();
 	this->FinishSend(SendOutcome::Complete);
 	this->Conclude(ExecutionState::Yes, 200, "application/json", body);
 }
@@ -215,9 +215,9 @@
 void CompletionCall::OnStreamLost(const std::string &why, bool certainly_not_sent)
 {
 	if (this->http_call != 0) {
-		uint64_t ended = this->http_call;
+		uint64_t previous_call = this->http_call;
 		this->http_call = 0;
-		this->instance.client.Cancel(ended);
+		this->instance.client.Cancel(previous_call);
 	}
 	this->Trace("stream lost after token " + std::to_string(this->ledger.Delivered()) + ": " + why);
 	if (certainly_not_sent) return this->OnGenerationLost("cannot reach " + this->engine_name, true);
@@ -285,11 +285,11 @@
 
 void CompletionCall::OnGenerationLost(const std::string &why, bool certainly_not_run)
 {
-	auto keep = this->shared_from_this();
-	bool shown = this->request.stream && this->ledger.Delivered() > 0;
+	auto keep_alive = this->shared_from_this();
+	bool partly_delivered = this->request.stream && this->ledger.Delivered() > 0;
 	bool ran = this->accepted_by_engine || this->ledger.Delivered() > 0;
 	if (!certainly_not_run) this->MarkOutcomeUnknown();
-	if (certainly_not_run || (!shown && this->spec.repeatable)) {
+	if (certainly_not_run || (!partly_delivered && this->spec.repeatable)) {
 		this->text.clear();
 		this->finished = false;
 		this->stall_seconds = 0;
@@ -298,14 +298,14 @@
 	}
 	CallFailure failure{502, "generation-lost", why + "; the answer is incomplete", ran ? ExecutionState::Yes : ExecutionState::Unknown,
 	                    std::nullopt};
-	if (shown) {
+	if (partly_delivered) {
 		this->exchange->Write(FormatFailureEvent(failure, this->request_name));
 		this->exchange->Finish();
 		this->Trace("incomplete stream ended with an error event");
 		this->instance.metrics.Count("cottonspool_streams_incomplete_total");
 	}
 	this->FinishSend(SendOutcome::LostAfterDelivery);
-	if (shown) return this->Conclude(failure.ran, failure.status, "", "");
+	if (partly_delivered) return this->Conclude(failure.ran, failure.status, "", "");
 	this->Fail(failure);
 }
 
--- a/src/instance/completion_call.h
+++ b/src/instance/completion_call.h
@@ -24,21 +24,31 @@
 	void OnCallerDisconnected() override;
 
 private:
+	/** Start \a call to the engine, either with the request or to resume the stream. */
 	void OpenStream(HttpCall call);
 	void OnHead(int status, const HttpHeaders &headers);
 	void OnData(std::string_view data);
 	void OnEnd(const HttpCallResult &end);
 	void OnEvent(const SseEvent &event);
+	/** Forward a token to the caller, or collect it for an answer without streaming. */
 	void DeliverToken(const SseEvent &event);
+	/** Update latency metrics for a received token. */
 	void MeasureToken(TimePoint now);
+	/** The last token was delivered: finish the answer. */
 	void Complete();
+	/** The connection to the engine failed: resume the stream, or fail the send if nothing was sent. */
 	void OnStreamLost(const std::string &why, bool certainly_not_sent);
+	/** Plan the next attempt to resume, or cancel the generation after the time limit. */
 	void ScheduleResume(TimePoint now);
 	void Resume();
+	/** Cancel a generation that cannot be resumed; the answer may tell that it never began. */
 	void CancelLostGeneration(const std::string &why);
 	void OnCancelAnswer(const std::string &why, const HttpCallResult &end, const std::string &body);
+	/** End a send without a complete answer: send again where that is safe, otherwise end with an error. */
 	void OnGenerationLost(const std::string &why, bool certainly_not_run);
+	/** Cancel the generation without waiting for the result. */
 	void CancelAtEngine();
+	/** Stop reading from the engine until the caller has read the backlog. */
 	void PauseOnBacklog();
 	std::string EngineUrl(const std::string &path) const;
 
--- a/src/instance/completion_request.cpp
+++ b/src/instance/completion_request.cpp
@@ -88,15 +88,15 @@
 	if (!chunk.is_object() || !chunk.contains("choices") || !chunk["choices"].is_array() || chunk["choices"].empty()) return std::nullopt;
 	const Json &choice = chunk["choices"][0];
 	if (!choice.is_object()) return std::nullopt;
-	CompletionChunk piece;
-	if (choice.contains("text") && choice["text"].is_string()) piece.text = choice["text"].get<std::string>();
+	CompletionChunk result;
+	if (choice.contains("text") && choice["text"].is_string()) result.text = choice["text"].get<std::string>();
 	if (choice.contains("delta") && choice["delta"].is_object()) {
 		const Json &delta = choice["delta"];
-		if (delta.contains("content") && delta["content"].is_string()) piece.text = delta["content"].get<std::string>();
+		if (delta.contains("content") && delta["content"].is_string()) result.text = delta["content"].get<std::string>();
 	}
 	if (choice.contains("finish_reason") && choice["finish_reason"].is_string())
-		piece.finish_reason = choice["finish_reason"].get<std::string>();
-	return piece;
+		result.finish_reason = choice["finish_reason"].get<std::string>();
+	return result;
 }
 
 std::string FormatCompletionAnswer(const CompletionRequest &request, const std::string &id, const std::string &text,
--- a/src/instance/configuration_manager.cpp
+++ b/src/instance/configuration_manager.cpp
@@ -91,12 +91,12 @@
 
 void ConfigurationManager::OnSnapshot(const std::string &snapshot)
 {
-	Result<bool> moved = this->state.Load(snapshot);
-	if (!moved) {
-		Log(LogLevel::Error, "snapshot-unreadable", {{"error", moved.error().message}});
+	Result<bool> advanced = this->state.Load(snapshot);
+	if (!advanced) {
+		Log(LogLevel::Error, "snapshot-unreadable", {{"error", advanced.error().message}});
 		return;
 	}
-	if (!moved.value()) return;
+	if (!advanced.value()) return;
 	this->recent.clear();
 	this->recent_bytes = 0;
 	malloc_trim(0);
@@ -119,50 +119,49 @@
 	this->RetryAccept(std::make_shared<PendingChange>(PendingChange{change, std::move(done)}));
 }
 
-void ConfigurationManager::RetryAccept(std::shared_ptr<PendingChange> acceptance)
+void ConfigurationManager::RetryAccept(std::shared_ptr<PendingChange> pending)
 {
-	if (acceptance->tries++ >= MAX_TRIES) {
-		ApplyOutcome end = acceptance->outcome_unknown ? ApplyOutcome::Unknown : ApplyOutcome::Failed;
-		return acceptance->done({end, 0, false, {}, "the table did not confirm the change; repeat it with the same id"});
+	if (pending->tries++ >= MAX_TRIES) {
+		ApplyOutcome end = pending->outcome_unknown ? ApplyOutcome::Unknown : ApplyOutcome::Failed;
+		return pending->done({end, 0, false, {}, "the table did not confirm the change; repeat it with the same id"});
 	}
-	this->PollTable([this, acceptance](bool reached) {
-		if (reached) return this->ProposeChange(acceptance);
-		if (acceptance->outcome_unknown) return this->RetryAccept(acceptance);
-		acceptance->done({ApplyOutcome::Failed, 0, false, {}, "the table is unreachable; nothing was written"});
+	this->PollTable([this, pending](bool reached) {
+		if (reached) return this->ProposeChange(pending);
+		if (pending->outcome_unknown) return this->RetryAccept(pending);
+		pending->done({ApplyOutcome::Failed, 0, false, {}, "the table is unreachable; nothing was written"});
 	});
 }
 
-void ConfigurationManager::ProposeChange(const std::shared_ptr<PendingChange> &acceptance)
+void ConfigurationManager::ProposeChange(const std::shared_ptr<PendingChange> &pending)
 {
-	const Change &change = acceptance->change;
+	const Change &change = pending->change;
 	if (auto accepted = this->state.FindAccepted(change.id)) {
-		return acceptance->done({ApplyOutcome::Accepted, accepted->sequence, acceptance->tries == 1, {}, {}});
+		return pending->done({ApplyOutcome::Accepted, accepted->sequence, pending->tries == 1, {}, {}});
 	}
 	if (auto other = this->state.FindConflict(change)) {
 		this->counters.conflicts++;
-		return acceptance->done({ApplyOutcome::Conflict, 0, false, *other, "the same records were changed concurrently"});
+		return pending->done({ApplyOutcome::Conflict, 0, false, *other, "the same records were changed concurrently"});
 	}
 	Result<void> valid = this->state.Validate(change, this->check_policy);
-	if (!valid) return acceptance->done({ApplyOutcome::Invalid, 0, false, {}, valid.error().peer + ": " + valid.error().message});
+	if (!valid) return pending->done({ApplyOutcome::Invalid, 0, false, {}, valid.error().peer + ": " + valid.error().message});
 	Entry entry{this->state.Sequence() + 1, change};
 	std::string text = FormatEntry(entry);
 	this->platform.InsertRow(EntryKey(entry.sequence), text,
-	                         [this, acceptance, text](const WriteOutcome &outcome) { this->OnInserted(acceptance, text, outcome); });
+	                         [this, pending, text](const WriteOutcome &outcome) { this->OnInserted(pending, text, outcome); });
 }
 
-void ConfigurationManager::OnInserted(const std::shared_ptr<PendingChange> &acceptance, const std::string &text,
-                                      const WriteOutcome &outcome)
+void ConfigurationManager::OnInserted(const std::shared_ptr<PendingChange> &pending, const std::string &text, const WriteOutcome &outcome)
 {
-	if (outcome.result == WriteResult::Unknown) acceptance->outcome_unknown = true;
+	if (outcome.result == WriteResult::Unknown) pending->outcome_unknown = true;
 	// The outcome is unknown or another change took the row. The next attempt reads the log and finds the change by its id if it was
 	// written.
-	if (outcome.result != WriteResult::Done) return this->RetryAccept(acceptance);
+	if (outcome.result != WriteResult::Done) return this->RetryAccept(pending);
 	Result<Entry> entry = ParseEntry(text);
 	this->counters.accepted++;
 	if (this->ApplyEntryText(text, &this->counters.from_table)) this->NotifyChanged({text});
 	Log(LogLevel::Info, "change-accepted",
-	    {{"change", acceptance->change.id}, {"author", acceptance->change.author}, {"sequence", std::to_string(entry.value().sequence)}});
-	acceptance->done({ApplyOutcome::Accepted, entry.value().sequence, false, {}, {}});
+	    {{"change", pending->change.id}, {"author", pending->change.author}, {"sequence", std::to_string(entry.value().sequence)}});
+	pending->done({ApplyOutcome::Accepted, entry.value().sequence, false, {}, {}});
 	this->WriteSnapshotIfDue();
 }
 
@@ -173,9 +172,9 @@
 	std::string snapshot = this->state.Snapshot();
 	this->platform.ReadObject(SNAPSHOT_KEY, [this, sequence, snapshot](Result<PlatformRow> row) {
 		if (!row) return;
-		ConfigurationState there;
-		bool readable = !row.value().version.empty() && there.Load(row.value().value);
-		if (readable && there.Sequence() >= sequence) return;
+		ConfigurationState stored;
+		bool readable = !row.value().version.empty() && stored.Load(row.value().value);
+		if (readable && stored.Sequence() >= sequence) return;
 		this->platform.WriteObject(SNAPSHOT_KEY, snapshot, row.value().version, [this](const WriteOutcome &outcome) {
 			if (outcome.result == WriteResult::Done) this->counters.snapshots++;
 		});
--- a/src/instance/configuration_manager.h
+++ b/src/instance/configuration_manager.h
@@ -44,7 +44,9 @@
  */
 class ConfigurationManager {
 public:
+	/** Called after an update, with the new entries; without any after a snapshot. */
 	using ChangeHandler = std::function<void(const std::vector<std::string> &new_entries)>;
+	/** Receives the result of a change. */
 	using ApplyDone = std::function<void(const ApplyResult &)>;
 
 	ConfigurationManager(Platform &platform, int64_t snapshot_every, PolicyCheck check_policy, ChangeHandler on_changed)
@@ -91,13 +93,19 @@
 		bool outcome_unknown = false; ///< A write without an answer may have taken effect.
 	};
 
+	/** Receives whether the table was read. */
 	using PollDone = std::function<void(bool)>;
 
+	/** Read all newer entries from the table. */
 	void PollTable(PollDone done);
+	/** Apply an entry if it is the next one. @param counter Incremented for an applied entry. @return Whether it was applied. */
 	bool ApplyEntryText(const std::string &text, uint64_t *counter);
-	void RetryAccept(std::shared_ptr<PendingChange> acceptance);
-	void ProposeChange(const std::shared_ptr<PendingChange> &acceptance);
-	void OnInserted(const std::shared_ptr<PendingChange> &acceptance, const std::string &text, const WriteOutcome &outcome);
+	/** Start the next attempt by reading the newest entries. */
+	void RetryAccept(std::shared_ptr<PendingChange> pending);
+	/** Check the change against the current configuration, and insert it as the next entry. */
+	void ProposeChange(const std::shared_ptr<PendingChange> &pending);
+	/** Handle the result of inserting the entry \a text. */
+	void OnInserted(const std::shared_ptr<PendingChange> &pending, const std::string &text, const WriteOutcome &outcome);
 	void WriteSnapshotIfDue();
 	void NotifyChanged(std::vector<std::string> entries);
 
--- a/src/instance/instance.cpp
+++ b/src/instance/instance.cpp
@@ -98,7 +98,7 @@
 
 void Instance::Execute(Decisions decisions)
 {
-	this->carrier.Execute(std::move(decisions));
+	this->executor.Execute(std::move(decisions));
 }
 
 void Instance::OnCallFinished(CallId call)
@@ -181,12 +181,12 @@
 	for (const DrainingTarget &draining : message.draining) this->AddDrainNotice(draining, "peer");
 	const MemberInfo &sender = message.members.front();
 	this->received_counters[sender.name] = sender.counter;
-	uint64_t own = this->configuration.State().Sequence();
-	if (sender.sequence > own && now >= this->next_fetch) {
+	uint64_t own_sequence = this->configuration.State().Sequence();
+	if (sender.sequence > own_sequence && now >= this->next_fetch) {
 		this->next_fetch = now + MIN_FETCH_INTERVAL;
-		reply(FetchMessage{own});
+		reply(FetchMessage{own_sequence});
 	}
-	if (sender.sequence != own) return;
+	if (sender.sequence != own_sequence) return;
 	// The sender wrote this message after it had received our heartbeat. Its confirmation is thus at most confirmed_age older than that
 	// heartbeat.
 	for (const auto &[name, counter] : message.echoes) {
@@ -269,13 +269,13 @@
 	this->was_fresh = is_fresh;
 	// Remove notices about targets that are no longer configured.
 	TargetTable &targets = this->dispatcher.Targets();
-	std::vector<DrainingTarget> old;
+	std::vector<DrainingTarget> obsolete;
 	for (const DrainingTarget &draining : this->membership.Leaving()) {
 		auto number = targets.Find(draining.target);
 		bool known = number && targets.Get(*number).restrictions.known;
-		if (!known) old.push_back(draining);
+		if (!known) obsolete.push_back(draining);
 	}
-	for (const DrainingTarget &draining : old) this->membership.RemoveDraining(draining.target);
+	for (const DrainingTarget &draining : obsolete) this->membership.RemoveDraining(draining.target);
 }
 
 void Instance::OnTick()
@@ -304,10 +304,10 @@
 	}
 	if (now >= this->next_call_tick) {
 		this->next_call_tick = now + CALL_TICK_INTERVAL;
-		std::vector<std::shared_ptr<Call>> all;
-		all.reserve(this->calls.size());
-		for (const auto &[id, call] : this->calls) all.push_back(call);
-		for (const std::shared_ptr<Call> &call : all) call->OnTick(now);
+		std::vector<std::shared_ptr<Call>> open_calls;
+		open_calls.reserve(this->calls.size());
+		for (const auto &[id, call] : this->calls) open_calls.push_back(call);
+		for (const std::shared_ptr<Call> &call : open_calls) call->OnTick(now);
 	}
 	if (this->stopping) this->AdvanceShutdown(now);
 }
@@ -334,10 +334,10 @@
 		this->listening = false;
 	}
 	bool done = this->calls.empty() && this->claims.Unsettled() == 0 && !this->listening && this->server.Connections() == 0;
-	bool late = since >= this->settings.stop_limit + this->settings.stop_notice;
+	bool time_limit_reached = since >= this->settings.stop_limit + this->settings.stop_notice;
 	bool only_idle_connections =
 	        this->calls.empty() && this->claims.Unsettled() == 0 && since >= this->settings.stop_notice + std::chrono::seconds(2);
-	if (!done && !late && !only_idle_connections) return;
+	if (!done && !time_limit_reached && !only_idle_connections) return;
 	this->aborted_calls = this->calls.size();
 	Log(LogLevel::Info, "stopped", {{"cut", std::to_string(this->aborted_calls)}});
 	uv_timer_stop(&this->timer->timer);
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -73,12 +73,18 @@
 	void HandleService(const std::shared_ptr<HttpExchange> &exchange);
 	void HandleOperator(const std::shared_ptr<HttpExchange> &exchange);
 	void HandleApply(const std::shared_ptr<HttpExchange> &exchange);
+	/** Answer a request that is not admitted as a call. */
 	void Reject(const std::shared_ptr<HttpExchange> &exchange, int status, const std::string &reason, const std::string &message);
+	/** @return The caller's account by its key; null if the request was rejected. */
 	const std::pair<const std::string, Versioned<AccountRecord>> *Authenticate(const std::shared_ptr<HttpExchange> &exchange);
+	/** Set what account and headers say about the call. @return False if the request was rejected. */
 	bool FillCallSpec(const std::shared_ptr<HttpExchange> &exchange, const std::string &account, const AccountRecord &record,
 	                  CallSpec *spec);
+	/** Set the order in which halls are tried: drawn by the weights of the account's share, or the local hall first without a share. */
 	void ChooseHalls(const std::string &account, const std::string &name, uint64_t draw, CallSpec *spec);
+	/** Register a call and start it. */
 	void Begin(const std::shared_ptr<Call> &call, const std::shared_ptr<HttpExchange> &exchange, const std::string &account);
+	/** @return The longest queueing time of calls of \a service_class. */
 	Duration WaitLimit(ServiceClass service_class) const;
 	std::string RenderMetrics();
 
@@ -86,15 +92,22 @@
 	void OnPeerMessage(const PeerMessage &message, const PeerLinks::Reply &reply);
 	void OnHeartbeat(const HeartbeatMessage &message, const PeerLinks::Reply &reply, TimePoint now);
 	void OnReport(TargetNumber target, const LoadReport &report);
+	/** Mark \a target as draining or not, by the configuration, its reports, the platform's list and notices. */
 	void UpdateDraining(TargetNumber target);
+	/** Record that a target drains, and broadcast it if that is new. */
 	void AddDrainNotice(const DrainingTarget &draining, const char *source);
 	void Heartbeat(TimePoint now);
+	/** Send the next heartbeat soon. */
 	void ScheduleHeartbeat(TimePoint now);
+	/** @return The heartbeat interval that stays within the bandwidth limit. */
 	Duration HeartbeatInterval() const;
 	void PollInstanceList();
+	/** Drain the targets that the operators' policy selects. */
 	void RunDrainPolicy();
 	void OnTick();
+	/** Do the periodic work that is due once a second. */
 	void OnSecondTick(TimePoint now);
+	/** Continue a shutdown: close the listener after the notice, and stop the loop when all calls are finished. */
 	void AdvanceShutdown(TimePoint now);
 
 	uv_loop_s *loop;                                                       ///< Event loop.
@@ -106,7 +119,7 @@
 	OrderController orders;                                                ///< Orders to the engines of the local hall.
 	pcg64 random;                                                          ///< Random numbers for names and choices.
 	std::unordered_map<CallId, std::shared_ptr<Call>, StrongIdHash> calls; ///< Open calls.
-	DecisionExecutor<Call> carrier{this->calls};                           ///< Executes decisions on the open calls.
+	DecisionExecutor<Call> executor{this->calls};                          ///< Executes decisions on the open calls.
 	uint64_t next_call = 1;                                                ///< Number of the next call.
 	std::map<uint64_t, TimePoint> heartbeat_times;                         ///< Send times of recent heartbeats by counter.
 	size_t heartbeat_bytes = 0;                                            ///< Size of the last heartbeat, in bytes.
--- a/src/instance/instance_http.cpp
+++ b/src/instance/instance_http.cpp
@@ -117,9 +117,9 @@
 		halls = share->halls;
 		double total = 0;
 		for (const HallPreference &hall : halls) total += hall.weight;
-		double drawn = static_cast<double>(draw % 1000000) / 1000000 * total;
+		double remaining_draw = static_cast<double>(draw % 1000000) / 1000000 * total;
 		size_t first = 0;
-		while (first + 1 < halls.size() && drawn >= halls[first].weight) drawn -= halls[first++].weight;
+		while (first + 1 < halls.size() && remaining_draw >= halls[first].weight) remaining_draw -= halls[first++].weight;
 		if (!halls.empty())
 			std::rotate(halls.begin(), halls.begin() + static_cast<long>(first), halls.begin() + static_cast<long>(first) + 1);
 	} else {
--- a/src/instance/order_controller.h
+++ b/src/instance/order_controller.h
@@ -39,8 +39,10 @@
 	const OrderCounters &Counters() const { return this->counters; }
 
 private:
+	/** Read or write the lease's row if that is due. */
 	void AdvanceLease(uint64_t nonce, TimePoint now);
 	void WriteLease(uint64_t nonce);
+	/** Order an engine into its configured state, unless it is there or an order is in progress. */
 	void SendOrderIfDue(const std::string &name, const TargetRecord &record, TimePoint now);
 	std::string RowKey() const { return "lease/orders/" + this->hall; }
 
--- a/src/instance/service_call.cpp
+++ b/src/instance/service_call.cpp
@@ -20,9 +20,9 @@
 {
 	HttpHeaders passed;
 	for (const HttpHeader &header : headers) {
-		bool skip = std::any_of(NOT_FORWARDED.begin(), NOT_FORWARDED.end(),
-		                        [&](const char *name) { return strcasecmp(name, header.name.c_str()) == 0; });
-		if (!skip) passed.push_back(header);
+		bool excluded = std::any_of(NOT_FORWARDED.begin(), NOT_FORWARDED.end(),
+		                            [&](const char *name) { return strcasecmp(name, header.name.c_str()) == 0; });
+		if (!excluded) passed.push_back(header);
 	}
 	return passed;
 }
@@ -75,7 +75,7 @@
 {
 	this->http_call = 0;
 	if (this->concluded) return;
-	auto keep = this->shared_from_this();
+	auto keep_alive = this->shared_from_this();
 	if (end.kind == HttpCallOutcome::NotSent) {
 		this->Trace("not sent: " + end.message);
 		return this->FinishSend(SendOutcome::NotExecuted);
--- a/src/instance/service_call.h
+++ b/src/instance/service_call.h
@@ -22,6 +22,7 @@
 
 private:
 	void OnEnd(const HttpCallResult &end);
+	/** The service may have executed the request: send again if it is repeatable, otherwise answer with an error. */
 	void OnOutcomeUnknown(const HttpCallResult &end);
 
 	std::string path;           ///< Path and query sent to the service.
--- a/src/instance/target_poller.cpp
+++ b/src/instance/target_poller.cpp
@@ -66,12 +66,12 @@
 	}
 	std::set<std::string> chosen;
 	for (const auto &[model, names] : by_model) {
-		std::vector<std::string> own;
+		std::vector<std::string> local_targets;
 		if (names.size() > max_per_model) {
-			std::copy_if(names.begin(), names.end(), std::back_inserter(own),
+			std::copy_if(names.begin(), names.end(), std::back_inserter(local_targets),
 			             [&](const std::string &name) { return configuration.Targets().at(name).record.hall == hall; });
 		}
-		const std::vector<std::string> &candidates = own.size() >= max_per_model ? own : names;
+		const std::vector<std::string> &candidates = local_targets.size() >= max_per_model ? local_targets : names;
 		for (std::string &name : RendezvousChoice(instance + "/" + model, candidates, max_per_model)) chosen.insert(std::move(name));
 	}
 	return chosen;
--- a/src/instance/target_poller.h
+++ b/src/instance/target_poller.h
@@ -63,6 +63,7 @@
 
 	void RequestReport(const std::string &name, PolledTarget &polled, Duration period);
 	void OnReportBody(const std::string &name, const std::string &body);
+	/** Update the models that a target serves in the target table; for an engine only those it has loaded. */
 	void ConfigureModels(const std::string &name, PolledTarget &polled);
 
 	HttpClient &client;                                  ///< Client for the polls.
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -71,7 +71,7 @@
 	}
 	if (!node.is_integer()) return SettingError(file, node, field.key, "must be an integer");
 	auto number = static_cast<double>(node.as_integer()->get());
-	if (auto whole = std::get_if<int64_t *>(&field.pointer)) return StoreNumber(field, node, file, number, *whole);
+	if (auto integer = std::get_if<int64_t *>(&field.pointer)) return StoreNumber(field, node, file, number, *integer);
 	if (auto size = std::get_if<size_t *>(&field.pointer)) return StoreNumber(field, node, file, number, *size);
 	int64_t milliseconds = 0;
 	BOOST_OUTCOME_TRYV(StoreNumber(field, node, file, number, &milliseconds));
--- a/tests/standins/callers.cpp
+++ b/tests/standins/callers.cpp
@@ -127,8 +127,8 @@
 		each.retry_after = !FindHeader(head.headers, "Retry-After").empty();
 		each.last_at = NowMs();
 		if (head.status == 200 && !each.stamped) each.violation = "200 without a target's stamp";
-		std::string_view told = FindHeader(head.headers, "X-Attempt-Id");
-		if (!told.empty() && told != each.id) each.violation = "answer to the request " + std::string(told);
+		std::string_view answered_id = FindHeader(head.headers, "X-Attempt-Id");
+		if (!answered_id.empty() && answered_id != each.id) each.violation = "answer to the request " + std::string(answered_id);
 	}
 
 	void OnBody(CallerRequest &each, std::string_view bytes)
@@ -147,12 +147,12 @@
 
 	void OnEnd(std::list<CallerRequest>::iterator each, UpstreamEnd end, const char *cause)
 	{
-		bool whole = end == UpstreamEnd::Complete;
-		if (whole && each->status == 200 && each->kind == 's' && each->events != each->length && each->violation.empty())
+		bool complete = end == UpstreamEnd::Complete;
+		if (complete && each->status == 200 && each->kind == 's' && each->events != each->length && each->violation.empty())
 			each->violation = "looks complete after " + std::to_string(each->events) + " of " + std::to_string(each->length) + " events";
-		if (whole && each->status == 200 && each->kind != 's' && each->body != "answer to " + each->id)
+		if (complete && each->status == 200 && each->kind != 's' && each->body != "answer to " + each->id)
 			each->violation = "body " + each->body.substr(0, 80);
-		this->RecordEnd(each, whole ? "whole" : end == UpstreamEnd::NotSent ? "not-sent" : "broken", cause);
+		this->RecordEnd(each, complete ? "whole" : end == UpstreamEnd::NotSent ? "not-sent" : "broken", cause);
 	}
 
 	void Disconnect(std::list<CallerRequest>::iterator each)
--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -120,8 +120,8 @@
 		*each->alive = false;
 		this->relayed.erase(each);
 		auto closed = [](uv_handle_t *handle) {
-			auto *gone = static_cast<RelayedConnection *>(handle->data);
-			if (--gone->open == 0) delete gone;
+			auto *connection = static_cast<RelayedConnection *>(handle->data);
+			if (--connection->open == 0) delete connection;
 		};
 		for (uv_tcp_t &side : each->sides) {
 			// Resetting fails if the connection was never established.
--- a/tests/standins/simulated_store.cpp
+++ b/tests/standins/simulated_store.cpp
@@ -82,8 +82,8 @@
 	std::string text = value;
 	for (const auto &[address, shown] : this->address_overrides) {
 		size_t at = text.find(address);
-		bool whole = at != std::string::npos && (at + address.size() == text.size() || isdigit(text[at + address.size()]) == 0);
-		if (whole) return text.replace(at, address.size(), shown);
+		bool full_match = at != std::string::npos && (at + address.size() == text.size() || isdigit(text[at + address.size()]) == 0);
+		if (full_match) return text.replace(at, address.size(), shown);
 	}
 	return text;
 }
--- a/tests/standins/simulation.cpp
+++ b/tests/standins/simulation.cpp
@@ -342,8 +342,8 @@
 
 int RunPlatformSimulation(uv_loop_t *loop)
 {
-	PlatformSimulation world(loop);
-	world.Start();
+	PlatformSimulation simulation(loop);
+	simulation.Start();
 	return uv_run(loop, UV_RUN_DEFAULT);
 }
 
