--- a/tests/standins/engine_base.h
+++ b/tests/standins/engine_base.h
@@ -44,15 +44,24 @@
 	void HandleGeneration(const std::shared_ptr<HttpExchange> &exchange, const std::string &id);
 	void HandleOrder(const std::shared_ptr<HttpExchange> &exchange);
 	void HandleControl(const std::shared_ptr<HttpExchange> &exchange);
+	/** Stream a generation to a listener, beginning after token \a from. */
 	void Attach(const GenerationPtr &generation, const std::shared_ptr<HttpExchange> &exchange, uint64_t from);
+	/** Send new tokens to all listeners. */
 	void Flush(const GenerationPtr &generation);
+	/** @return The stream event of token \a index, which counts from 1. */
 	std::string EventText(const EngineGeneration &generation, uint64_t index) const;
+	/** Run a decoding step if it is due: one token for each generation in the batch. */
 	void Step();
+	/** Move waiting generations into the batch while there is memory. */
 	void AdmitWaiting();
+	/** Preempt generations of the lowest priority until the next step fits into memory. */
 	void PreemptWhileFull();
+	/** Cancel generations that had no listener for too long. */
 	void DropOrphans();
+	/** @return Memory used by the batch, in tokens. */
 	uint64_t UsedTokens() const;
 	Json MakeReport();
+	/** @return Executed generations and orders, for the checks of scenarios. */
 	Json Record() const;
 
 	uv_loop_t *loop;                                        ///< Event loop.
--- a/tests/standins/simulation_base.h
+++ b/tests/standins/simulation_base.h
@@ -68,12 +68,16 @@
 
 	void Reply(const Exchange &exchange, int status, const Json &body) const;
 	HttpHeaders Headers() const;
+	/** @return The rows of \a table written after version \a since. */
 	Json RowsOf(const std::string &table, uint64_t since, bool with_deleted) const;
+	/** @return \a value with the first matching address replaced. */
 	std::string WithAddressOverrides(const std::string &value) const;
+	/** Answer a request as the mode demands. */
 	void Answer(const Exchange &exchange);
 	void Get(const Exchange &exchange, const std::string &query);
 	void Feed(const Exchange &exchange, const std::string &query);
 	void Transact(const Exchange &exchange);
+	/** Answer the feed requests that have new rows or whose time is up. */
 	void AnswerWaiting();
 
 	uv_loop_t *loop;            ///< Event loop.
@@ -152,14 +156,22 @@
 	};
 
 	void Listen();
+	/** Crash shortly after the request \a attempt has started. */
 	void CrashDuring(const std::string &attempt);
 	void Handle(const Exchange &exchange);
+	/** Handle a request to an engine: start a generation, or resume one from a KV cache copy. */
 	void Generate(const Exchange &exchange, const std::string &attempt);
+	/** Start streaming a run. */
 	void Begin(Run run);
+	/** Handle a request to a service. */
 	void Serve(const Exchange &exchange, const std::string &attempt);
+	/** @return The headers of an answer, with rate limit and drain announcement. */
 	HttpHeaders Headers(const std::string &attempt);
+	/** Reject a request during a pause, and begin a pause that is due. @return Whether it was rejected. */
 	bool RejectWhilePaused(const Exchange &exchange, const std::string &attempt);
+	/** Copy the KV cache of a run, so that another engine can resume it. */
 	void MigrateRun(const Exchange &exchange);
+	/** Send the events that are due. */
 	void Step();
 
 	uv_loop_t *loop;                                     ///< Event loop.
