--- a/bench/end_to_end.lua
+++ b/bench/end_to_end.lua
@@ -1,5 +1,5 @@
--- The ways to decide, on real processes: the same calls, small, through 4 instances to 4 engines with little memory.
--- Run with: build/cottonspool-scenario --bin build bench/end_to_end.lua   (prints a table; no verdict)
+-- Compares the routers on real processes: the same small calls through 4 instances to 4 engines with little memory.
+-- Run with: build/cottonspool-scenario --bin build bench/end_to_end.lua   (prints a table, checks nothing)
 package.path = "tests/scenarios/?.lua;" .. package.path
 local lib = require("lib")
 
--- a/bench/experiment.cpp
+++ b/bench/experiment.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file experiment.cpp Compares ways to decide on the same workloads: one table, a CSV file and a plot. */
+/** @file experiment.cpp Compares routers on the same simulated workloads; prints a table and writes a CSV file and a plot. */
 
 #include "experiment_world.h"
 #include <algorithm>
@@ -16,13 +16,13 @@
 #include <toml++/toml.h>
 
 DEFINE_uint64(seed, 1, "first seed");
-DEFINE_uint64(seeds, 5, "seeds, each run with every contender");
-DEFINE_uint64(threads, 6, "runs at once");
-DEFINE_string(csv, "", "file for all figures");
-DEFINE_string(svg, "", "file for a plot of the first figure against the load");
-DEFINE_string(loads, "", "loads to run, separated by commas, in place of the workload's own");
-DEFINE_bool(ablations, false, "also run ours with each rule left out");
-DEFINE_double(scale, 1, "factor on the length of the runs");
+DEFINE_uint64(seeds, 5, "number of seeds; each contender runs with each");
+DEFINE_uint64(threads, 6, "number of parallel runs");
+DEFINE_string(csv, "", "CSV file for all figures");
+DEFINE_string(svg, "", "SVG file for a plot of the p99 stall of the short class against the load");
+DEFINE_string(loads, "", "loads to run instead of the workload's own, separated by commas");
+DEFINE_bool(ablations, false, "also run the headroom router without each of its rules");
+DEFINE_double(scale, 1, "factor applied to the length of the runs");
 
 namespace cottonspool {
 
@@ -32,18 +32,18 @@
 static double Quantile(std::vector<float> values, double part)
 {
 	if (values.empty()) return 0;
-	auto place = values.begin() + static_cast<long>(part * static_cast<double>(values.size() - 1));
-	std::nth_element(values.begin(), place, values.end());
-	return *place;
+	auto position = values.begin() + static_cast<long>(part * static_cast<double>(values.size() - 1));
+	std::nth_element(values.begin(), position, values.end());
+	return *position;
 }
 
-/** @return Jain's index of the part of what was asked that each account was served. */
+/** @return Jain's fairness index of the accounts' shares of requested tokens that were served. */
 static double Fairness(const RunFigures &run)
 {
 	double sum = 0, squares = 0, count = 0;
-	for (size_t i = 0; i < run.asked.size(); i++) {
-		if (run.asked[i] == 0) continue;
-		double part = run.served[i] / run.asked[i];
+	for (size_t i = 0; i < run.requested.size(); i++) {
+		if (run.requested[i] == 0) continue;
+		double part = run.served[i] / run.requested[i];
 		sum += part;
 		squares += part * part;
 		count++;
@@ -136,7 +136,7 @@
 	return all;
 }
 
-/** Figures of every contender: for each figure, one value a seed. */
+/** For each contender and figure, one value for each seed. */
 using Table = std::map<std::string, std::map<std::string, std::vector<double>>>;
 
 static Table RunAll(const Workload &workload, const std::vector<Contender> &contenders)
@@ -162,7 +162,7 @@
 	return table;
 }
 
-static double Middle(std::vector<double> values)
+static double Median(std::vector<double> values)
 {
 	std::sort(values.begin(), values.end());
 	return values[values.size() / 2];
@@ -170,23 +170,23 @@
 
 static void Print(const Workload &workload, const std::vector<Contender> &contenders, const Table &table)
 {
-	static const std::vector<std::string> shown{
+	static const std::vector<std::string> columns{
 	        "short_stall_p50", "short_stall_p99", "short_stall_max", "preempt_per_1000", "token_p95", "token_p99",
 	        "token_p999",      "first_p99",       "refused_pct",     "lost_pct",         "jain",      "small_p99",
 	        "useful_tok_s"};
 	std::cout << "\n"
 	          << workload.name << ", load " << workload.load << ", " << FLAGS_seeds << " seeds from " << FLAGS_seed
-	          << ": median (least .. largest)\n";
+	          << ": median (minimum .. maximum)\n";
 	std::cout << std::left << std::setw(20) << "";
-	for (const std::string &figure : shown) std::cout << std::setw(25) << figure;
+	for (const std::string &figure : columns) std::cout << std::setw(25) << figure;
 	std::cout << "\n";
 	for (const Contender &contender : contenders) {
 		std::cout << std::left << std::setw(20) << contender.name;
-		for (const std::string &figure : shown) {
+		for (const std::string &figure : columns) {
 			std::vector<double> values = table.at(contender.name).at(figure);
 			auto [least, most] = std::minmax_element(values.begin(), values.end());
 			std::ostringstream cell;
-			cell << std::setprecision(3) << Middle(values) << " (" << *least << ".." << *most << ")";
+			cell << std::setprecision(3) << Median(values) << " (" << *least << ".." << *most << ")";
 			std::cout << std::setw(25) << cell.str();
 		}
 		std::cout << "\n";
@@ -205,7 +205,7 @@
 	}
 }
 
-/** Plot the p99 stall of the short class against the load, a line a contender, on a logarithmic scale. */
+/** Plot the p99 stall of the short class against the load, one line for each contender, on a logarithmic scale. */
 static void WriteSvg(const std::vector<std::pair<double, Table>> &sweep, const std::vector<Contender> &contenders)
 {
 	constexpr double left = 60, width = 560, top = 20, height = 300;
@@ -225,7 +225,7 @@
 		const std::string &colour = colours[c % colours.size()];
 		svg << "<polyline fill='none' stroke-width='2' stroke='" << colour << "' points='";
 		for (const auto &[load, table] : sweep)
-			svg << x(load) << "," << y(Middle(table.at(contenders[c].name).at("short_stall_p99"))) << " ";
+			svg << x(load) << "," << y(Median(table.at(contenders[c].name).at("short_stall_p99"))) << " ";
 		svg << "'/><text x='" << left + width + 10 << "' y='" << 40 + 18 * c << "' fill='" << colour << "'>" << contenders[c].name
 		    << "</text>\n";
 	}
--- a/bench/experiment_world.cpp
+++ b/bench/experiment_world.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file experiment_world.cpp The engine model and the event loop of the experiment. */
+/** @file experiment_world.cpp Engine model and event loop of the simulation. */
 
 #include "experiment_world.h"
 #include "core/hash_func.h"
@@ -11,12 +11,12 @@
 
 namespace cottonspool {
 
-static constexpr double WIRE_SECONDS = 0.0015; ///< One way between an instance and an engine.
+static constexpr double WIRE_SECONDS = 0.0015; ///< One-way latency between an instance and an engine.
 static constexpr double TICK_SECONDS = 0.05;   ///< Time between ticks of an instance.
-static constexpr double STALL_SECONDS = 0.2;   ///< Wait for a token beyond which a caller stalls.
-static constexpr double DRAIN_SECONDS = 60;    ///< Time after the last call in which running ones may end.
-static constexpr size_t CACHED_PREFIXES = 64;  ///< Prefixes an engine keeps.
-static constexpr double CACHED_PART = 0.7;     ///< Part of a prompt that need not be taken in when its prefix is cached.
+static constexpr double STALL_SECONDS = 0.2;   ///< Wait for a token beyond which it counts as a stall.
+static constexpr double DRAIN_SECONDS = 60;    ///< Time after the last arrival for running calls to complete.
+static constexpr size_t CACHED_PREFIXES = 64;  ///< Prefixes in the cache of an engine.
+static constexpr double CACHED_PART = 0.7;     ///< Part of a prompt that needs no prefill if its prefix is cached.
 
 double CallRate(const Workload &workload)
 {
@@ -25,7 +25,7 @@
 		double variance = kind.sigma * kind.sigma;
 		double mean_length = kind.length * std::exp(variance / 2);
 		double mean_prompt = kind.prompt * std::exp(variance / 8);
-		// What a call holds on average over its life: its prompt and half of its output, longer outputs for longer.
+		// Average memory of a call while it runs: its prompt and half of its output, weighted by the length of the output.
 		double held = mean_prompt + kind.length * std::exp(1.5 * variance) / 2;
 		length += kind.share * mean_length;
 		prompt += kind.share * mean_prompt;
@@ -40,50 +40,51 @@
 
 namespace {
 
-/** One call on its way. */
+/** A simulated call. */
 struct SimCall {
-	CallSpec spec;            ///< For the dispatcher.
-	size_t instance = 0;      ///< Instance that has it.
-	uint32_t length = 1;      ///< Tokens it will have; nobody knows.
-	uint32_t generated = 0;   ///< Tokens so far.
-	double last = 0;          ///< When the last token came, or the call.
-	double stalled = 0;       ///< Seconds of stall.
+	CallSpec spec;            ///< Call as the dispatcher sees it.
+	size_t instance = 0;      ///< Instance that received it.
+	uint32_t length = 1;      ///< Tokens of its output; unknown to dispatchers.
+	uint32_t generated = 0;   ///< Tokens generated so far.
+	double last = 0;          ///< Time of the last token, or of the arrival, in seconds.
+	double stalled = 0;       ///< Total stall, in seconds.
 	int priority = 0;         ///< Priority at the engine.
-	size_t engine = SIZE_MAX; ///< Engine that has it.
-	bool prefilled = false;   ///< Its prompt is in the engine's memory.
-	bool over = false;        ///< Done, refused or lost.
-	uint32_t sends = 0;       ///< Sends; a message of an earlier one is void.
+	size_t engine = SIZE_MAX; ///< Engine that it was sent to.
+	bool prefilled = false;   ///< Its prompt is in the KV cache.
+	bool over = false;        ///< Completed, rejected or lost.
+	uint32_t sends = 0;       ///< Number of sends; messages of earlier sends are ignored.
 };
 
-/** One engine. */
+/** A simulated engine. */
 struct SimEngine {
 	std::vector<size_t> running;   ///< Calls being decoded.
-	std::list<size_t> waiting;     ///< Calls accepted.
-	double used = 0;               ///< Memory in use.
-	uint64_t preemptions = 0;      ///< Preemptions.
-	uint64_t sequence = 0;         ///< Reports made.
-	bool stepping = false;         ///< A step is under way.
-	bool dead = false;             ///< It is gone.
+	std::list<size_t> waiting;     ///< Calls in its queue.
+	double used = 0;               ///< KV cache in use, in tokens.
+	uint64_t preemptions = 0;      ///< Number of preemptions.
+	uint64_t sequence = 0;         ///< Sequence number of the last report.
+	bool stepping = false;         ///< A step is in progress.
+	bool dead = false;             ///< It has crashed.
 	double slow = 1;               ///< Factor on the time of a step.
-	uint64_t incarnation = 1;      ///< Start.
+	uint64_t incarnation = 1;      ///< Number of the current incarnation.
 	std::deque<uint64_t> prefixes; ///< Cached prefixes.
 };
 
+/** Kind of a simulation event. */
 enum class SimKind : uint8_t { Arrive, Send, Step, Tick, Report, ReportIn, EventStart, EventEnd };
 
-/** Something that happens at a time. */
+/** An event of the simulation. */
 struct SimEvent {
-	double at;            ///< When, in seconds.
-	uint64_t order;       ///< Order among events of one time.
-	SimKind kind;         ///< What.
-	size_t first, second; ///< Which.
+	double at;            ///< Virtual time, in seconds.
+	uint64_t order;       ///< Order among events at the same time.
+	SimKind kind;         ///< Kind of event.
+	size_t first, second; ///< Operands; their meaning depends on the kind.
 	bool operator<(const SimEvent &other) const { return std::tie(other.at, other.order) < std::tie(this->at, this->order); }
 };
 
-/** One run. */
-class World {
+/** One run of a workload. */
+class Simulation {
 public:
-	World(const Workload &workload, const Contender &contender, uint64_t seed)
+	Simulation(const Workload &workload, const Contender &contender, uint64_t seed)
 	    : workload(workload), contender(contender), random(seed), engines(workload.engines)
 	{
 		for (size_t i = 0; i < workload.instances; i++) {
@@ -101,7 +102,7 @@
 			this->Push(workload.events[i].at, SimKind::EventStart, i);
 			this->Push(workload.events[i].at + workload.events[i].seconds, SimKind::EventEnd, i);
 		}
-		this->figures.asked.resize(workload.accounts);
+		this->figures.requested.resize(workload.accounts);
 		this->figures.served.resize(workload.accounts);
 		this->rate = CallRate(workload);
 		this->Push(2, SimKind::Arrive);
@@ -127,20 +128,20 @@
 		case SimKind::Arrive:
 			return this->Arrive();
 		case SimKind::Send:
-			return this->Receive(event.first, event.second);
+			return this->ReceiveAtEngine(event.first, event.second);
 		case SimKind::Step:
 			return this->Step(event.first, event.second);
 		case SimKind::Tick:
 			this->Push(this->now + TICK_SECONDS, SimKind::Tick, event.first);
-			return this->Take(event.first, this->instances[event.first]->OnTick(this->Now()));
+			return this->ApplyDecisions(event.first, this->instances[event.first]->OnTick(this->Now()));
 		case SimKind::Report:
 			return this->MakeReport(event.first);
 		case SimKind::ReportIn:
 			return this->ReportIn(event.first, event.second);
 		case SimKind::EventStart:
-			return this->Happen(this->workload.events[event.first], true);
+			return this->ApplyDisturbance(this->workload.events[event.first], true);
 		case SimKind::EventEnd:
-			return this->Happen(this->workload.events[event.first], false);
+			return this->ApplyDisturbance(this->workload.events[event.first], false);
 		}
 	}
 
@@ -170,7 +171,7 @@
 		size_t account = std::discrete_distribution<size_t>(weights.begin(), weights.end())(this->random);
 		const WorkloadClass &model = this->workload.classes[kind];
 		SimCall call;
-		double own = static_cast<double>(HashText("account", account) % 2001) / 1000 - 1; // Each account's outputs have their own middle.
+		double own = static_cast<double>(HashText("account", account) % 2001) / 1000 - 1; // Each account has its own median output length.
 		double middle = model.length * std::exp(own * this->workload.account_sigma);
 		call.length = static_cast<uint32_t>(std::clamp(this->LogNormal(middle, model.sigma), 1.0, 30000.0));
 		call.spec.id = CallId{this->calls.size()};
@@ -191,12 +192,12 @@
 		}
 		call.last = this->now;
 		this->figures.calls++;
-		this->figures.asked[account] += call.length;
+		this->figures.requested[account] += call.length;
 		this->calls.push_back(call);
-		this->Take(call.instance, this->instances[call.instance]->Submit(call.spec, this->Now()));
+		this->ApplyDecisions(call.instance, this->instances[call.instance]->Submit(call.spec, this->Now()));
 	}
 
-	void Take(size_t instance, const Decisions &decisions)
+	void ApplyDecisions(size_t instance, const Decisions &decisions)
 	{
 		(void)instance;
 		for (const SendAction &send : decisions.sends) {
@@ -206,28 +207,28 @@
 			call.sends++;
 			this->Push(this->now + WIRE_SECONDS, SimKind::Send, send.call.value, call.sends);
 		}
-		for (const RejectAction &give_up : decisions.rejections) {
-			this->calls[give_up.call.value].over = true;
-			this->figures.refused[static_cast<size_t>(give_up.reason)]++;
+		for (const RejectAction &rejection : decisions.rejections) {
+			this->calls[rejection.call.value].over = true;
+			this->figures.refused[static_cast<size_t>(rejection.reason)]++;
 		}
 	}
 
-	void Receive(size_t number, size_t send)
+	void ReceiveAtEngine(size_t number, size_t send)
 	{
 		SimCall &call = this->calls[number];
 		if (call.sends != send) return;
 		SimEngine &engine = this->engines[call.engine];
 		if (engine.dead) return this->EndSend(number, SendOutcome::NotExecuted);
-		auto place = std::find_if(engine.waiting.begin(), engine.waiting.end(),
-		                          [&](size_t w) { return this->calls[w].priority < call.priority; });
-		engine.waiting.insert(place, number);
+		auto position = std::find_if(engine.waiting.begin(), engine.waiting.end(),
+		                             [&](size_t w) { return this->calls[w].priority < call.priority; });
+		engine.waiting.insert(position, number);
 		this->StartStep(call.engine);
 	}
 
 	void EndSend(size_t number, SendOutcome end)
 	{
 		SimCall &call = this->calls[number];
-		this->Take(call.instance, this->instances[call.instance]->OnSendEnded(call.spec.id, end, this->Now()));
+		this->ApplyDecisions(call.instance, this->instances[call.instance]->OnSendEnded(call.spec.id, end, this->Now()));
 	}
 
 	void StartStep(size_t number)
@@ -269,9 +270,9 @@
 		engine.running.erase(engine.running.begin() + static_cast<long>(victim));
 		engine.used -= this->calls[number].spec.prompt_tokens + this->calls[number].generated;
 		engine.preemptions++;
-		auto place = std::find_if(engine.waiting.begin(), engine.waiting.end(),
-		                          [&](size_t w) { return this->calls[w].priority <= this->calls[number].priority; });
-		engine.waiting.insert(place, number);
+		auto position = std::find_if(engine.waiting.begin(), engine.waiting.end(),
+		                             [&](size_t w) { return this->calls[w].priority <= this->calls[number].priority; });
+		engine.waiting.insert(position, number);
 	}
 
 	void Step(size_t number, size_t incarnation)
@@ -338,7 +339,7 @@
 		report.preemptions = engine.preemptions;
 		report.prefixes.assign(engine.prefixes.begin(), engine.prefixes.end());
 		this->reports.emplace_back(std::move(report), this->now);
-		// Every instance asks on its own, so the same state reaches them at different times and ages.
+		// Each instance polls on its own, so the same report reaches them at different times and ages.
 		for (size_t i = 0; i < this->instances.size(); i++) {
 			double phase = static_cast<double>(HashText("phase", number * 64 + i) % 1000) / 1000;
 			double age = (this->workload.lag_ms + phase * this->workload.report_ms) / 1000;
@@ -354,7 +355,7 @@
 		           (number % this->workload.halls == this->cut_hall) != (i % this->workload.halls == this->cut_hall);
 		LoadReport copy = this->reports[report].first;
 		copy.age = FromSeconds(this->now - this->reports[report].second);
-		if (!cut) this->Take(i, this->instances[i]->OnReport(TargetNumber{static_cast<uint32_t>(number)}, copy, this->Now()));
+		if (!cut) this->ApplyDecisions(i, this->instances[i]->OnReport(TargetNumber{static_cast<uint32_t>(number)}, copy, this->Now()));
 	}
 
 	void Kill(size_t number)
@@ -369,16 +370,16 @@
 		engine.preemptions = preemptions;
 		engine.incarnation = incarnation;
 		for (size_t id : all) {
-			bool shown = this->calls[id].generated > 0;
-			if (shown) {
+			bool delivered = this->calls[id].generated > 0;
+			if (delivered) {
 				this->figures.lost++;
 				this->calls[id].over = true;
 			}
-			this->EndSend(id, shown ? SendOutcome::LostAfterDelivery : SendOutcome::Lost);
+			this->EndSend(id, delivered ? SendOutcome::LostAfterDelivery : SendOutcome::Lost);
 		}
 	}
 
-	void Happen(const WorkloadEvent &event, bool begins)
+	void ApplyDisturbance(const WorkloadEvent &event, bool begins)
 	{
 		if (event.kind == "burst") {
 			this->burst_class = event.number;
@@ -392,28 +393,28 @@
 		if (event.kind == "engine-dies" && !begins) this->engines[event.number].dead = false;
 	}
 
-	const Workload &workload;                           ///< Workload.
-	const Contender &contender;                         ///< Way to decide.
-	pcg64 random;                                       ///< Chance of the calls.
-	std::vector<SimEngine> engines;                     ///< Engines.
-	std::vector<std::unique_ptr<Dispatcher>> instances; ///< Instances.
-	std::deque<SimCall> calls;                          ///< All calls.
-	std::deque<std::pair<LoadReport, double>> reports;  ///< All reports with the times they were made.
-	std::priority_queue<SimEvent> events;               ///< What is to come.
-	RunFigures figures;                                 ///< Figures.
-	double now = 0;                                     ///< Time, in seconds.
-	uint64_t order = 0;                                 ///< Events made.
-	double rate = 1;                                    ///< Calls a second.
-	double burst = 1, flood = 1;                        ///< Factors on calls.
-	size_t burst_class = 0, cut_hall = SIZE_MAX;        ///< Which class and hall are concerned.
-	bool reports_stopped = false;                       ///< No reports come.
+	const Workload &workload;                           ///< Workload to run.
+	const Contender &contender;                         ///< Router and settings under test.
+	pcg64 random;                                       ///< Random numbers of the calls.
+	std::vector<SimEngine> engines;                     ///< Simulated engines.
+	std::vector<std::unique_ptr<Dispatcher>> instances; ///< Dispatcher of each instance.
+	std::deque<SimCall> calls;                          ///< All calls so far.
+	std::deque<std::pair<LoadReport, double>> reports;  ///< All reports with their creation times.
+	std::priority_queue<SimEvent> events;               ///< Future events.
+	RunFigures figures;                                 ///< Measurements.
+	double now = 0;                                     ///< Virtual time, in seconds.
+	uint64_t order = 0;                                 ///< Number of events created.
+	double rate = 1;                                    ///< Base rate of arrivals, in calls per second.
+	double burst = 1, flood = 1;                        ///< Factors on the rate of a class and of the largest account.
+	size_t burst_class = 0, cut_hall = SIZE_MAX;        ///< Class with a burst; hall that is cut off.
+	bool reports_stopped = false;                       ///< Engines send no reports.
 };
 
 } // namespace
 
 RunFigures RunWorkload(const Workload &workload, const Contender &contender, uint64_t seed)
 {
-	return World(workload, contender, seed).Run();
+	return Simulation(workload, contender, seed).Run();
 }
 
 } // namespace cottonspool
--- a/bench/overhead.cpp
+++ b/bench/overhead.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file overhead.cpp Opens many streams at one address and times their tokens: to compare an instance with its engines. */
+/** @file overhead.cpp Opens many streams and times their tokens, to compare an instance with its engines. */
 
 #include "generation/sse_parser.h"
 #include "http/http_client.h"
@@ -12,39 +12,39 @@
 #include <unistd.h>
 #include <uv.h>
 
-DEFINE_string(urls, "", "http://IP:PORT of what is measured, separated by commas; streams go to each in turn");
-DEFINE_string(key, "kiosk-key", "caller's key");
-DEFINE_uint64(streams, 200, "streams open at once");
-DEFINE_uint64(tokens, 100, "tokens of each stream");
-DEFINE_int32(pid, 0, "process whose processor time and memory are shown");
+DEFINE_string(urls, "", "addresses http://IP:PORT to measure, separated by commas; streams go to each in turn");
+DEFINE_string(key, "kiosk-key", "API key of the caller");
+DEFINE_uint64(streams, 200, "number of concurrent streams");
+DEFINE_uint64(tokens, 100, "tokens per stream");
+DEFINE_int32(pid, 0, "process whose CPU time and memory are printed");
 
 namespace cottonspool {
 
-/** What is measured. */
+/** Measurements of all streams. */
 struct Figures {
-	std::vector<double> first;     ///< Seconds to the first token of each stream.
-	std::vector<double> intervals; ///< Seconds between tokens.
-	size_t open = 0;               ///< Streams not yet over.
-	size_t failed = 0;             ///< Streams that did not complete.
+	std::vector<double> first;     ///< Time to first token of each stream, in seconds.
+	std::vector<double> intervals; ///< Times between tokens, in seconds.
+	size_t open = 0;               ///< Streams in flight.
+	size_t failed = 0;             ///< Streams with a wrong number of tokens.
 };
 
-/** One stream. */
+/** A stream in flight. */
 struct Stream {
-	SseParser parser;    ///< Its events.
-	TimePoint started;   ///< When it was started.
-	TimePoint last;      ///< When its last token came.
-	uint64_t tokens = 0; ///< Tokens so far.
+	SseParser parser;    ///< Parser of its events.
+	TimePoint started;   ///< Time of the request.
+	TimePoint last;      ///< Time of the last token.
+	uint64_t tokens = 0; ///< Tokens received so far.
 };
 
 static double Quantile(std::vector<double> &values, double part)
 {
 	if (values.empty()) return 0;
-	auto place = values.begin() + static_cast<long>(part * static_cast<double>(values.size() - 1));
-	std::nth_element(values.begin(), place, values.end());
-	return *place;
+	auto position = values.begin() + static_cast<long>(part * static_cast<double>(values.size() - 1));
+	std::nth_element(values.begin(), position, values.end());
+	return *position;
 }
 
-/** @return Processor seconds and resident megabytes of the process \a pid. */
+/** @return CPU seconds and resident megabytes of the process \a pid. */
 static std::pair<double, double> ProcessCost(int pid)
 {
 	std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
@@ -105,11 +105,11 @@
 		StartStream(client, urls[i % urls.size()], figures);
 		if (i % 20 == 0) uv_run(loop, UV_RUN_NOWAIT);
 	}
-	TimePoint looked = started;
+	TimePoint last_sample = started;
 	while (figures.open > 0) {
 		uv_run(loop, UV_RUN_ONCE);
-		if (FLAGS_pid == 0 || MonotonicNow() - looked < std::chrono::milliseconds(200)) continue;
-		looked = MonotonicNow();
+		if (FLAGS_pid == 0 || MonotonicNow() - last_sample < std::chrono::milliseconds(200)) continue;
+		last_sample = MonotonicNow();
 		memory_peak = std::max(memory_peak, ProcessCost(FLAGS_pid).second);
 	}
 	double seconds = Seconds(MonotonicNow() - started);
--- a/bench/overhead.sh
+++ b/bench/overhead.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# What an entry instance adds: the same streams straight to four engine stand-ins and through one instance, in turn.
+# Measures the overhead of an entry instance: the same streams sent directly to four engine stand-ins and through one instance, in turn.
 # Usage: bench/overhead.sh [STREAMS] [STEP_MS] [ROUNDS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -21,6 +21,6 @@
 build/cottonspool apply "$DIR/change.toml" --server "http://$HTTP" --key ops --wait_s 10 >/dev/null
 sleep 2
 for _ in $(seq "$ROUNDS"); do
-	echo "straight: $(build/cottonspool-overhead --urls "$URLS" --streams "$STREAMS")"
+	echo "direct:  $(build/cottonspool-overhead --urls "$URLS" --streams "$STREAMS")"
 	echo "through:  $(build/cottonspool-overhead --urls "http://$HTTP" --streams "$STREAMS" --pid "$PID")"
 done
--- a/bench/process_size.sh
+++ b/bench/process_size.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Memory and processor time of one whole instance with so many accounts and targets in its configuration, and no callers.
+# Measures memory and CPU time of an idle instance with a given number of accounts and targets in its configuration.
 # Usage: bench/process_size.sh [ACCOUNTS] [TARGETS] [SECONDS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -32,11 +32,11 @@
 echo "after $ACCOUNTS accounts and $TARGETS targets in changes: $(memory)"
 FROM=$(cpu)
 sleep "$WATCH"
-echo "control, nothing asked, ${WATCH} s: $(($(cpu) - FROM)) ticks of $(getconf CLK_TCK) a second; targets watched: $(build/cottonspool status --server "http://$HTTP" --key ops | grep -c 'in flight')"
+echo "idle, ${WATCH} s: $(($(cpu) - FROM)) ticks ($(getconf CLK_TCK) per second); targets watched: $(build/cottonspool status --server "http://$HTTP" --key ops | grep -c 'in flight')"
 printf 'author = "bench"\n[account.account1]\nkey_sha256 = "%064x"\n' 999999999 >"$DIR/one.toml"
 FROM=$(cpu)
 for _ in $(seq 20); do build/cottonspool apply "$DIR/one.toml" --server "http://$HTTP" --key ops >/dev/null; done
 echo "20 further changes of one account: $(($(cpu) - FROM)) ticks"
 serve second
 sleep 5
-echo "booted from the table: $(memory)"
+echo "second instance, loaded from the store: $(memory)"
--- a/bench/slopes_func.h
+++ b/bench/slopes_func.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file slopes_func.h Counts the memory that is allocated. */
+/** @file slopes_func.h Measures the memory use of this process. */
 
 #pragma once
 
@@ -8,13 +8,13 @@
 
 namespace cottonspool {
 
-/** @return Bytes allocated by this process and not yet freed, as the C library counts them. */
+/** @return Bytes allocated and not yet freed, from the statistics of the C library. */
 size_t AllocatedBytes();
 
-/** Forget the peak of resident memory so far. @return Resident bytes now. */
+/** Reset the recorded peak of resident memory. @return Resident bytes now. */
 size_t ResetPeakBytes();
 
-/** @return The peak of resident bytes since ResetPeakBytes(). */
+/** @return Peak of resident bytes since ResetPeakBytes(). */
 size_t PeakBytes();
 
 } // namespace cottonspool
--- a/bench/slopes_main.cpp
+++ b/bench/slopes_main.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file slopes_main.cpp The slopes behind docs/CAPACITY.md. */
+/** @file slopes_main.cpp Micro benchmarks of cost by size; docs/CAPACITY.md gives their results. */
 
 #include "configuration/configuration_state.h"
 #include "decision/dispatcher.h"
@@ -19,7 +19,7 @@
 using namespace cottonspool;
 using std::chrono::milliseconds;
 
-/** @return A state with so many accounts, 28 models and so many targets. */
+/** @return A configuration with \a accounts accounts, 28 models and \a targets targets. */
 static ConfigurationState MakeState(uint64_t accounts, uint64_t targets)
 {
 	ConfigurationState state;
@@ -43,7 +43,7 @@
 	return state;
 }
 
-/** Memory of the configuration. */
+/** Memory of a configuration and size of its snapshot. */
 static void ConfigurationMemory(benchmark::State &bench)
 {
 	for (auto _ : bench) {
@@ -61,7 +61,7 @@
         ->Iterations(1)
         ->Unit(benchmark::kMillisecond);
 
-/** Booting from a snapshot: the peak of memory while it is read. */
+/** Peak memory while a snapshot is loaded. */
 static void ConfigurationBoot(benchmark::State &bench)
 {
 	std::string snapshot = MakeState(static_cast<uint64_t>(bench.range(0)), 3700).Snapshot();
@@ -74,7 +74,7 @@
 }
 BENCHMARK(ConfigurationBoot)->Arg(4700)->Arg(47000)->Iterations(1)->Unit(benchmark::kMillisecond);
 
-/** Taking in one change of one account. */
+/** Time to parse and apply a change of one account. */
 static void ConfigurationChange(benchmark::State &bench)
 {
 	ConfigurationState state = MakeState(static_cast<uint64_t>(bench.range(0)), 411);
@@ -92,7 +92,7 @@
 }
 BENCHMARK(ConfigurationChange)->Arg(4700)->Arg(47000)->Unit(benchmark::kMicrosecond);
 
-/** Finding the account of a caller's key. */
+/** Time to find the account of an API key. */
 static void AccountLookup(benchmark::State &bench)
 {
 	ConfigurationState state = MakeState(static_cast<uint64_t>(bench.range(0)), 0);
@@ -102,7 +102,7 @@
 }
 BENCHMARK(AccountLookup)->Arg(4700)->Arg(47000)->Unit(benchmark::kMicrosecond);
 
-/** A heartbeat: written, in CBOR, read again and taken in. */
+/** Time to encode, decode and apply a heartbeat. */
 static void Heartbeat(benchmark::State &bench)
 {
 	Membership members({"instance0", "hall0", "10.0.0.1:8081", 1700000000000}, std::chrono::seconds(4));
@@ -127,7 +127,7 @@
 }
 BENCHMARK(Heartbeat)->Arg(8)->Arg(41)->Arg(370)->Unit(benchmark::kMicrosecond);
 
-/** The once-a-second and once-a-heartbeat work on the member list: live members, rank, links. */
+/** Time of the periodic work on the member list: the rank of this instance and its gossip peers. */
 static void MemberUpkeep(benchmark::State &bench)
 {
 	Membership members({"instance0", "hall0", "a", 1}, std::chrono::seconds(4));
@@ -144,7 +144,7 @@
 }
 BENCHMARK(MemberUpkeep)->Arg(8)->Arg(41)->Arg(370)->Unit(benchmark::kMicrosecond);
 
-/** @return A load report as an engine writes it. */
+/** @return A load report as an engine sends it. */
 static std::string ReportText(uint64_t sequence)
 {
 	std::string prefixes;
@@ -154,7 +154,7 @@
 	       R"(,"used_tokens":61234,"waiting":0,"waiting_tokens":0})";
 }
 
-/** A dispatcher with targets of one model, and calls in flight. */
+/** @return A dispatcher with \a targets engines of one model, each with a load report. */
 static std::unique_ptr<Dispatcher> MakeDispatcher(int64_t targets, TimePoint now)
 {
 	auto dispatcher = std::make_unique<Dispatcher>(DispatchLimits{}, MakeRouter("headroom", 1));
@@ -169,7 +169,7 @@
 	return dispatcher;
 }
 
-/** @return A call. */
+/** @return An interactive call that arrived at \a now. */
 static CallSpec MakeCall(uint64_t id, TimePoint now)
 {
 	CallSpec call;
@@ -182,7 +182,7 @@
 	return call;
 }
 
-/** A load report: read, and taken in. */
+/** Time to parse and apply a load report. */
 static void LoadReportIn(benchmark::State &bench)
 {
 	TimePoint now(std::chrono::seconds(100));
@@ -200,7 +200,7 @@
 }
 BENCHMARK(LoadReportIn)->Arg(10)->Arg(56)->Arg(411)->Unit(benchmark::kMicrosecond);
 
-/** One call from submission to its end: choice, send, first token, end. */
+/** Time of the decisions for one call: submission and routing, first token, completion. */
 static void Decision(benchmark::State &bench)
 {
 	TimePoint now(std::chrono::seconds(100));
@@ -216,7 +216,7 @@
 }
 BENCHMARK(Decision)->Arg(2)->Arg(10)->Arg(24)->Arg(411)->Unit(benchmark::kMicrosecond);
 
-/** Memory of a watched target, and of a call in flight, in the decision core. */
+/** Memory of targets and of calls in flight in the decision core. */
 static void CoreMemory(benchmark::State &bench)
 {
 	TimePoint now(std::chrono::seconds(100));
@@ -238,7 +238,7 @@
         ->Iterations(1)
         ->Unit(benchmark::kMillisecond);
 
-/** One token on its way through an instance, without sockets: event, order, text, accounting. */
+/** Time to process one token without sockets: event parser, ledger, chunk parser, dispatcher, metrics. */
 static void TokenThrough(benchmark::State &bench)
 {
 	TimePoint now(std::chrono::seconds(100));
@@ -263,7 +263,7 @@
 }
 BENCHMARK(TokenThrough)->Unit(benchmark::kMicrosecond);
 
-/** The two policy functions that run for each call, and one drain. */
+/** Time of the policy functions priority, route and drain. */
 static void PolicyCalls(benchmark::State &bench)
 {
 	PolicyEngine engine(PolicyLimits{});
@@ -280,7 +280,7 @@
 }
 BENCHMARK(PolicyCalls)->Unit(benchmark::kMicrosecond);
 
-/** Memory and text of the metrics with so many accounts of their own. */
+/** Memory of the metrics and size of their text, by number of accounts with series of their own. */
 static void MetricsCost(benchmark::State &bench)
 {
 	size_t before = AllocatedBytes();
--- a/bench/slopes_memory.cpp
+++ b/bench/slopes_memory.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file slopes_memory.cpp Counts the memory that is allocated. */
+/** @file slopes_memory.cpp Measures the memory use of this process. */
 
 #include "slopes_func.h"
 #include <fstream>
@@ -15,7 +15,7 @@
 	return info.uordblks + info.hblkhd;
 }
 
-/** @return The bytes in the line \a key of the process's status. */
+/** @return Value in bytes of the line \a key in /proc/self/status. */
 static size_t StatusBytes(const std::string &key)
 {
 	std::ifstream status("/proc/self/status");
