--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Coverage-guided fuzzing of the decoders with clang's libFuzzer (Debian: clang, libclang-rt-14-dev).
-# Usage: scripts/fuzz.sh SECONDS [DECODER ...]   Inputs that break one are left in build-fuzz/found/DECODER.
+# Usage: scripts/fuzz.sh SECONDS [DECODER ...]   Inputs that crash one are written to build-fuzz/found/DECODER.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 SECONDS_EACH=$1
@@ -16,9 +16,9 @@
 	LOG=build-fuzz/found/$NAME.log
 	if COTTONSPOOL_DECODER=$NAME build-fuzz/cottonspool-libfuzzer -seed=1 -max_total_time="$SECONDS_EACH" -artifact_prefix="build-fuzz/found/$NAME/" \
 		-print_final_stats=1 "build-fuzz/inputs/$NAME" >"$LOG" 2>&1; then
-		echo "$NAME: $(sed -n 's/stat::number_of_executed_units: *//p' "$LOG") inputs, none broke it"
+		echo "$NAME: $(sed -n 's/stat::number_of_executed_units: *//p' "$LOG") inputs, no crash"
 	else
-		echo "$NAME: broken, see $LOG"
+		echo "$NAME: crashed, see $LOG"
 		FAILED=1
 	fi
 done
--- a/tests/fuzz/decoders.cpp
+++ b/tests/fuzz/decoders.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file decoders.cpp Every decoder of bytes from outside: of the store, targets, peers, callers and settings. */
+/** @file decoders.cpp The decoders of bytes from the store, targets, peers, callers and settings files. */
 
 #include "decoders.h"
 #include "configuration/record_type.h"
@@ -45,7 +45,7 @@
 static const char *const COMPLETION =
         R"({"model":"m","prompt":"x","max_tokens":5,"stream":true,"messages":[{"role":"user","content":"x"}]})";
 
-/** Read \a bytes as a message of \a kind, in two parts. */
+/** Read \a bytes as HTTP messages of \a kind, arriving in two parts. */
 static void ReadHttp(const std::string &bytes, HttpReader::Kind kind)
 {
 	HttpReader reader(kind);
@@ -65,7 +65,7 @@
 	reader.AddEof();
 }
 
-/** Read \a bytes as the events of a stream. */
+/** Read \a bytes as the server-sent events of a stream. */
 static void SplitEvents(const std::string &bytes)
 {
 	EventSplitter splitter;
@@ -74,7 +74,7 @@
 	static_cast<void>(splitter.TakeRemainder());
 }
 
-/** Read \a bytes as records and changes of a configuration. */
+/** Read \a bytes as each kind of record, change and entry of a configuration. */
 static void ReadRecords(const std::string &bytes)
 {
 	static_cast<void>(ParseAccount("a", bytes));
@@ -86,7 +86,7 @@
 	static_cast<void>(ParseEntry(bytes));
 }
 
-/** @return Messages between instances, one of each kind that gateways use. */
+/** @return One encoded peer message of each kind that gateways use. */
 static std::vector<std::string> PeerMessages()
 {
 	LoadMessage load{"g1", 7, true, {{CallUpdate::Kind::At, 3, "i-1@abc123", 100, 20, 300, "pool", ServiceClass::Stream}}, {{"i-1", {}}}};
--- a/tests/fuzz/decoders.h
+++ b/tests/fuzz/decoders.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file decoders.h Every decoder of bytes from outside, with valid messages to begin from. */
+/** @file decoders.h The decoders of untrusted bytes, with valid messages as seeds for the fuzzers. */
 
 #pragma once
 
@@ -9,14 +9,14 @@
 
 namespace cottonspool {
 
-/** One decoder. */
+/** A decoder of untrusted bytes. */
 struct FuzzedDecoder {
-	const char *name;                    ///< Name, and folder of its corpus.
-	void (*decode)(const std::string &); ///< Decodes any bytes; may refuse them, never fail on them.
-	std::vector<std::string> seeds;      ///< Valid messages.
+	const char *name;                    ///< Name, also of its folder in the corpus.
+	void (*decode)(const std::string &); ///< Decodes any bytes; may reject them, but not crash or throw.
+	std::vector<std::string> seeds;      ///< Valid messages, to be mutated.
 };
 
-/** @return All of them. */
+/** @return All decoders. */
 const std::vector<FuzzedDecoder> &FuzzedDecoders();
 
 } // namespace cottonspool
--- a/tests/fuzz/libfuzzer.cpp
+++ b/tests/fuzz/libfuzzer.cpp
@@ -1,12 +1,12 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file libfuzzer.cpp The decoders under clang's libFuzzer: the environment's COTTONSPOOL_DECODER names the one to feed. */
+/** @file libfuzzer.cpp Entry point for clang's libFuzzer; the environment variable COTTONSPOOL_DECODER names the decoder to test. */
 
 #include "decoders.h"
 #include <cstdlib>
 #include <cstring>
 
-/** libFuzzer's way in. */
+/** Called by libFuzzer with each input. */
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	static const cottonspool::FuzzedDecoder *decoder = [] {
--- a/tests/fuzz/main.cpp
+++ b/tests/fuzz/main.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file main.cpp Feeds every decoder with valid messages that were changed at random, and with inputs that once broke one. */
+/** @file main.cpp Feeds each decoder with its corpus of former failures and with randomly mutated valid messages. */
 
 #include "decoders.h"
 #include <algorithm>
@@ -15,58 +15,58 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-DEFINE_uint64(seed, 1, "seed of the changes");
-DEFINE_uint64(inputs, 20000, "inputs for each decoder");
-DEFINE_string(decoder, "", "only this decoder");
-DEFINE_string(corpus, "tests/fuzz/corpus", "folder of inputs that once broke a decoder, by its name");
-DEFINE_string(found, "fuzz-found", "folder in which an input that breaks a decoder is left");
+DEFINE_uint64(seed, 1, "seed of the mutations");
+DEFINE_uint64(inputs, 20000, "number of inputs for each decoder");
+DEFINE_string(decoder, "", "name of the only decoder to test; empty for all");
+DEFINE_string(corpus, "tests/fuzz/corpus", "folder of inputs that have crashed a decoder before, in one folder per decoder");
+DEFINE_string(found, "fuzz-found", "folder to which an input that crashes a decoder is written");
 
 namespace cottonspool {
 
-static constexpr size_t MAX_CHANGES = 6; ///< Most changes of one input.
-static constexpr size_t BATCH = 2000;    ///< Inputs given to one process; one that breaks is then looked for among them.
+static constexpr size_t MAX_CHANGES = 6; ///< Largest number of mutations of one input.
+static constexpr size_t BATCH = 2000;    ///< Inputs decoded by one child process; after a crash they are tried one by one.
 
-/** Changes inputs at random. */
+/** Mutates inputs at random. */
 class Mutator {
 public:
 	explicit Mutator(uint64_t seed) : random(seed) {}
 
-	/** @return One of \a seeds, changed. */
-	std::string Make(const std::vector<std::string> &seeds)
+	/** @return One of \a seeds, mutated. */
+	std::string Mutate(const std::vector<std::string> &seeds)
 	{
 		std::string input = seeds[this->Pick(seeds.size())];
 		size_t changes = 1 + this->Pick(MAX_CHANGES);
-		for (size_t i = 0; i < changes; i++) this->Change(input, seeds);
+		for (size_t i = 0; i < changes; i++) this->MutateOnce(input, seeds);
 		return input;
 	}
 
 private:
 	size_t Pick(size_t count) { return count == 0 ? 0 : static_cast<size_t>(this->random() % count); }
 
-	void Change(std::string &input, const std::vector<std::string> &seeds)
+	void MutateOnce(std::string &input, const std::vector<std::string> &seeds)
 	{
-		static const std::vector<std::string> WORDS{"null",
-		                                            "true",
-		                                            "-1",
-		                                            "1e308",
-		                                            "-1e308",
-		                                            "18446744073709551616",
-		                                            "99999999999999999999999",
-		                                            "0.5",
-		                                            "[]",
-		                                            "{}",
-		                                            "\"\"",
-		                                            "\xff\xfe",
-		                                            std::string("\0", 1),
-		                                            "4294967296",
-		                                            "\"\\ud800\"",
-		                                            "1e400",
-		                                            ",",
-		                                            ":",
-		                                            "\"",
-		                                            "\r\n",
-		                                            "[[[[[[[[",
-		                                            "{\"a\":"};
+		static const std::vector<std::string> TOKENS{"null",
+		                                             "true",
+		                                             "-1",
+		                                             "1e308",
+		                                             "-1e308",
+		                                             "18446744073709551616",
+		                                             "99999999999999999999999",
+		                                             "0.5",
+		                                             "[]",
+		                                             "{}",
+		                                             "\"\"",
+		                                             "\xff\xfe",
+		                                             std::string("\0", 1),
+		                                             "4294967296",
+		                                             "\"\\ud800\"",
+		                                             "1e400",
+		                                             ",",
+		                                             ":",
+		                                             "\"",
+		                                             "\r\n",
+		                                             "[[[[[[[[",
+		                                             "{\"a\":"};
 		size_t at = this->Pick(input.size() + 1);
 		size_t length = this->Pick(std::min<size_t>(input.size() - at, 12) + 1);
 		switch (this->Pick(6)) {
@@ -77,10 +77,10 @@
 			input.erase(at, length);
 			return;
 		case 2:
-			input.insert(at, WORDS[this->Pick(WORDS.size())]);
+			input.insert(at, TOKENS[this->Pick(TOKENS.size())]);
 			return;
 		case 3:
-			input.replace(at, length, WORDS[this->Pick(WORDS.size())]);
+			input.replace(at, length, TOKENS[this->Pick(TOKENS.size())]);
 			return;
 		case 4: {
 			const std::string &other = seeds[this->Pick(seeds.size())];
@@ -89,11 +89,11 @@
 			return;
 		}
 		default:
-			this->ReplaceValue(input, WORDS);
+			this->ReplaceValue(input, TOKENS);
 		}
 	}
 
-	/** Put a word in the place of a number or a text behind a colon: the shape stays, the type does not. */
+	/** Replace the value after a colon by one of \a words: the structure stays valid, the type changes. */
 	void ReplaceValue(std::string &input, const std::vector<std::string> &words)
 	{
 		size_t colon = input.find(':', this->Pick(input.size() + 1));
@@ -103,10 +103,10 @@
 		input.replace(colon + 1, end - colon - 1, words[this->Pick(words.size())]);
 	}
 
-	pcg64 random; ///< Chance.
+	pcg64 random; ///< Random numbers.
 };
 
-/** Give \a inputs to \a decoder in a process of its own. @return Whether it came through. */
+/** Decode \a inputs in a child process. @return Whether it neither crashed nor threw. */
 static bool Survives(const FuzzedDecoder &decoder, std::span<const std::string> inputs)
 {
 	pid_t child = fork();
@@ -123,18 +123,18 @@
 	return waitpid(child, &status, 0) == child && WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
 
-/** Leave \a input behind: it breaks \a decoder. */
-static void KeepInput(const FuzzedDecoder &decoder, const std::string &input)
+/** Write \a input, which crashes \a decoder, to a file. */
+static void SaveInput(const FuzzedDecoder &decoder, const std::string &input)
 {
 	std::filesystem::path folder = std::filesystem::path(FLAGS_found) / decoder.name;
 	std::filesystem::create_directories(folder);
 	std::filesystem::path file = folder / (std::to_string(FLAGS_seed) + "-" + std::to_string(std::hash<std::string>()(input)));
 	std::ofstream(file, std::ios::binary) << input;
-	std::cout << decoder.name << ": broken by " << file.string() << std::endl;
+	std::cout << decoder.name << ": crashed by " << file.string() << std::endl;
 }
 
-/** Feed \a decoder with the inputs of its corpus and with changed messages. @return Whether none broke it. */
-static bool Fuzz(const FuzzedDecoder &decoder)
+/** Test \a decoder with its corpus and with mutated messages. @return Whether it survived all of them. */
+static bool RunDecoder(const FuzzedDecoder &decoder)
 {
 	std::filesystem::path folder = std::filesystem::path(FLAGS_corpus) / decoder.name;
 	std::vector<std::string> seeds = decoder.seeds;
@@ -148,15 +148,15 @@
 	std::sort(seeds.begin(), seeds.end());
 	Mutator mutator(FLAGS_seed);
 	std::vector<std::string> inputs = seeds;
-	while (inputs.size() < FLAGS_inputs) inputs.push_back(mutator.Make(seeds));
+	while (inputs.size() < FLAGS_inputs) inputs.push_back(mutator.Mutate(seeds));
 	for (size_t begin = 0; begin < inputs.size(); begin += BATCH) {
 		std::span<const std::string> batch = std::span(inputs).subspan(begin, std::min(BATCH, inputs.size() - begin));
 		if (Survives(decoder, batch)) continue;
-		auto broken = std::find_if(batch.begin(), batch.end(), [&](const std::string &input) { return !Survives(decoder, {&input, 1}); });
-		KeepInput(decoder, broken == batch.end() ? std::string() : *broken);
+		auto crashed = std::find_if(batch.begin(), batch.end(), [&](const std::string &input) { return !Survives(decoder, {&input, 1}); });
+		SaveInput(decoder, crashed == batch.end() ? std::string() : *crashed);
 		return false;
 	}
-	std::cout << decoder.name << ": " << inputs.size() << " inputs, none broke it" << std::endl;
+	std::cout << decoder.name << ": " << inputs.size() << " inputs, no crash" << std::endl;
 	return true;
 }
 
@@ -168,7 +168,7 @@
 	bool good = true;
 	for (const cottonspool::FuzzedDecoder &decoder : cottonspool::FuzzedDecoders()) {
 		if (!FLAGS_decoder.empty() && FLAGS_decoder != decoder.name) continue;
-		good = cottonspool::Fuzz(decoder) && good;
+		good = cottonspool::RunDecoder(decoder) && good;
 	}
 	return good ? 0 : 1;
 }
