--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing and builds everything into build/.
+# Installs missing packages and builds all targets into build/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install.sh
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Builds cottonspool, starts stand-ins and three entry instances, serves one long generation and one service call through
-# them, shows the state, and stops everything in good order.
+# Builds cottonspool, starts stand-ins and three entry instances, serves a long generation and a service call through them,
+# prints the state and stops all processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/build.sh | tail -1
 source scripts/processes.sh
 
-# Start an entry instance: name, data hall, seed of a peer. Its addresses are in HTTP and PEER afterwards.
+# Starts an entry instance; arguments: name, data hall, quoted address of a seed peer. Sets HTTP and PEER to its addresses.
 instance() {
 	local NAME=$1
 	cat >"$DIR/$NAME.toml" <<-TOML
@@ -81,7 +81,7 @@
 grep -i '^cottonspool' "$DIR/head.txt"
 echo "== state"
 build/cottonspool status --server "$SERVERS"
-echo "== what was decided for it"
+echo "== decisions for this request"
 REQUEST=$(sed -n 's/^cottonspool-request: \([^\r]*\).*/\1/Ip' "$DIR/head.txt")
 build/cottonspool explain "$REQUEST" --server "$SERVERS"
 echo "== stop"
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing of the Debian packages that the build and the tests need. Quick when nothing is missing.
+# Installs the missing Debian packages that the build and the tests need.
 set -euo pipefail
 PACKAGES=(cmake ninja-build ccache g++ pkg-config clang-format clang-tidy curl libuv1-dev libh2o-dev libwebsocketpp-dev
 	nlohmann-json3-dev libtomlplusplus-dev libgflags-dev libboost-dev libboost-log-dev libboost-thread-dev libboost-filesystem-dev
--- a/scripts/licence.sh
+++ b/scripts/licence.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Puts the licence notice at the top of every source file that lacks it; with --check only names them and fails.
+# Adds the licence notice to source files without it; with --check only lists them and fails if there are any.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 NOTICE='/* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */'
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Layers, formatter and linter. Needs a configured build/.
+# Checks layers, documented headers, licence notices, formatting and file lengths, and runs the linter. Needs a configured build/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/check_layers.sh
@@ -9,7 +9,7 @@
 clang-format --dry-run --Werror $FILES
 LONG=$(wc -l $FILES $(git ls-files '*.lua') | awk '$2 != "total" && $1 > 500 {print $2 " (" $1 ")"}')
 if [ -n "$LONG" ]; then
-	echo "files past 500 lines: $LONG" >&2
+	echo "files longer than 500 lines: $LONG" >&2
 	exit 1
 fi
 echo "$FILES" | grep '\.cpp$' | grep -v websocket_session | xargs -P "$(nproc)" -n 4 clang-tidy --quiet -p build 2>/dev/null
--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Tabulates what requests were lost or late, by route and cause, from the logs of gateways.
+"""Tabulates lost and late requests by route and cause, from the logs of gateways.
 
   scripts/losses.py LOG... [--gap-ms 180] [--first-ms 1800] [--by-time SECONDS]
 
-Reads files, or standard input for "-". A line's JSON may stand behind other text; a number in front of it is its time in seconds.
-Each row: route, cause, requests, and one of them for `cottonspool explain`.
+Reads files, or standard input for "-". The JSON of a line may follow other text; a decimal number at the start of the line is its time in
+seconds. Each row has the route, the cause, the number of requests, and the id of one of them for `cottonspool explain`.
 """
 import argparse
 import collections
@@ -14,7 +14,7 @@
 
 
 def parse_line(line):
-    """Time in seconds (None if the line has none in front) and the event, or None for a line without one."""
+    """Returns the time in seconds (None if the line has none) and the event, or None for a line without an event."""
     start = line.find('{"at_ms"')
     if start < 0:
         return None
@@ -27,28 +27,28 @@
 
 
 def collect(lines):
-    """Events by request, and the targets that gave notice."""
+    """Returns the events by request, and the targets with a drain notice."""
     requests = collections.defaultdict(list)
-    leaving = set()
+    draining = set()
     for line in lines:
         parsed = parse_line(line)
         if parsed is None:
             continue
         time, event = parsed
         if event["event"] == "target-leaving":
-            leaving.add(event["target"])
+            draining.add(event["target"])
         if "request" in event:
             requests[event["request"]].append((time, event))
-    return requests, leaving
+    return requests, draining
 
 
-def lost_run_cause(events, lost, leaving):
+def lost_run_cause(events, lost, draining):
     moves = [event for event in events if event["event"] == "move"]
-    begun = "after its first event" if int(lost["events"]) > 0 else "before its first event"
-    if lost["target"] in leaving:
-        step = f"{moves[-1]['step']} {moves[-1]['result']}" if moves else "no move begun"
-        return f"engine left {begun}: {step}"
-    return f"engine lost without notice {begun}"
+    phase = "after its first event" if int(lost["events"]) > 0 else "before its first event"
+    if lost["target"] in draining:
+        step = f"{moves[-1]['step']} {moves[-1]['result']}" if moves else "no migration started"
+        return f"draining engine lost {phase}: {step}"
+    return f"engine lost without notice {phase}"
 
 
 def late_cause(streamed, gap_ms, first_ms):
@@ -58,18 +58,18 @@
     if gap <= gap_ms:
         return None
     if gap > 5 * gap_ms:
-        return "late: stood still"
-    return "late: pause of a move" if int(streamed["moves"]) > 0 else "late: pause without a move"
+        return "late: stalled"
+    return "late: pause of a migration" if int(streamed["moves"]) > 0 else "late: pause without a migration"
 
 
-def cause_of(events, leaving, gap_ms, first_ms):
-    """Why a request was lost or late, or None if it was served in time."""
+def cause_of(events, draining, gap_ms, first_ms):
+    """Returns why a request was lost or late, or None if it was served in time or rejected."""
     by_name = {event["event"]: event for event in events}
     finished = by_name.get("finished")
     if finished is None:
         return None if "refused" in by_name else "its instance ended"
     if "run-lost" in by_name:
-        return lost_run_cause(events, by_name["run-lost"], leaving)
+        return lost_run_cause(events, by_name["run-lost"], draining)
     if "streamed" in by_name:
         return late_cause(by_name["streamed"], gap_ms, first_ms)
     status = int(finished["status"])
@@ -78,18 +78,18 @@
     return f"{finished['outcome']} {status}" if status else finished["outcome"]
 
 
-def tabulate(requests, leaving, gap_ms, first_ms, by_time):
-    """Rows of route, moment, cause, count and one request."""
+def tabulate(requests, draining, gap_ms, first_ms, by_time):
+    """Returns rows of route, start of the time span, cause, count and one request."""
     rows = collections.OrderedDict()
     for request, timed in requests.items():
         events = [event for _, event in timed]
         received = next(((time, event) for time, event in timed if event["event"] == "received"), None)
-        cause = cause_of(events, leaving, gap_ms, first_ms) if received else None
+        cause = cause_of(events, draining, gap_ms, first_ms) if received else None
         if cause is None:
             continue
         time, event = received
-        moment = int(time // by_time) * by_time if by_time and time is not None else ""
-        row = rows.setdefault((event["route"], moment, cause), [0, request])
+        span_start = int(time // by_time) * by_time if by_time and time is not None else ""
+        row = rows.setdefault((event["route"], span_start, cause), [0, request])
         row[0] += 1
     return sorted(((*key, *row) for key, row in rows.items()), key=lambda row: (row[0], str(row[1]).zfill(6), -row[3]))
 
@@ -97,17 +97,17 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("logs", nargs="+")
-    parser.add_argument("--gap-ms", type=float, default=180, help="longest pause between events that is in time")
-    parser.add_argument("--first-ms", type=float, default=1800, help="longest time to the first event that is in time")
-    parser.add_argument("--by-time", type=int, default=0, help="tabulate by spans of so many seconds")
+    parser.add_argument("--gap-ms", type=float, default=180, help="longest gap between events that counts as in time")
+    parser.add_argument("--first-ms", type=float, default=1800, help="longest time to the first event that counts as in time")
+    parser.add_argument("--by-time", type=int, default=0, help="length in seconds of the time spans to tabulate by")
     args = parser.parse_args()
     lines = []
     for name in args.logs:
         with sys.stdin if name == "-" else open(name, errors="replace") as log:
             lines += log.readlines()
-    requests, leaving = collect(lines)
+    requests, draining = collect(lines)
     print("| route | from second | cause | requests | one of them |\n| --- | --- | --- | --- | --- |")
-    for row in tabulate(requests, leaving, args.gap_ms, args.first_ms, args.by_time):
+    for row in tabulate(requests, draining, args.gap_ms, args.first_ms, args.by_time):
         print("| " + " | ".join(str(cell) for cell in row) + " |")
 
 
--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Plays days of the operators' deployments with mechanisms switched, and tabulates what each day is worth.
+"""Plays simulated days of deployments with mechanisms switched, and tabulates the score (worth) of each day.
 
-Days are played in scratch copies of the committed tree with the binary that target/ holds, without charging processor time, so a
-rerun repeats to the last digit. Journal entries of the plays are copied to journal/ when --keep-journal is given.
+Days are played in scratch copies of the committed tree with the binary in target/, without charging processor time, so that a rerun
+gives identical figures. With --keep-journal the journal entries of the plays are copied to journal/.
 
   scripts/play_days.py --player PATH --sites DIR gopherline-hub mawqif-cloud --seeds 0,1,2
   scripts/play_days.py --player PATH --sites DIR mawqif-cloud-large --small --shrink 5 --no-own --jobs 2
@@ -21,13 +21,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-MOST_MACHINES = 80  # instances of a deployment up to which several days are played side by side
-LEAST_PRICE = 0.002  # share of a day's worth below which a price is not printed
-STANDARD_SEED = "0"  # stands for the seed that the day itself names
+MAX_PARALLEL_MACHINES = 80  # largest number of machines with which days are played in parallel
+MIN_PRINTED_PRICE = 0.002  # lowest price that is printed, as a share of the day's worth
+STANDARD_SEED = "0"  # means the day's own seed
 
 
 def find_site(sites, name):
-    """The deployment's file below the folder of deployments."""
+    """Returns the file of a deployment, anywhere below the folder."""
     found = sorted(sites.rglob(name + ".toml"))
     if not found:
         sys.exit(f"no {name}.toml below {sites}")
@@ -35,18 +35,18 @@
 
 
 def standard_days(site, quiet):
-    """Names of the quiet standard days of a deployment, or of the others."""
+    """Returns the names of the quiet standard days of a deployment, or of all others."""
     days = tomllib.loads(site.read_text())["day"]
     return [day["name"] for day in days if (day["slot"] == "quiet") == quiet]
 
 
 def with_shrink(text, shrink):
-    """The text of a day whose small twin is `shrink` times smaller than the deployment."""
+    """Returns the text of a day with the shrink factor of its small twin replaced."""
     return re.sub(r"(?m)^(small = .*?shrink = )[\d.]+", rf"\g<1>{shrink}", text)
 
 
 def twin_days(site, names, shrink, folder):
-    """The named days with twins of another size, as files: they tell what grows with the number of instances."""
+    """Writes the named days with twins of another size to files: comparing sizes shows what grows with the number of instances."""
     blocks = re.split(r"(?m)^\[\[day\]\]\n", site.read_text())[1:]
     paths = []
     for block in blocks:
@@ -63,32 +63,32 @@
     return sum(machines["count"] for machines in tomllib.loads(site.read_text())["machines"])
 
 
-def fill_in(text, site):
-    """An own day for one deployment: @c0, @s0 and @z0 stand for its first kind of request, pool and data hall, @z1 for the next hall."""
+def fill_template(text, site):
+    """Fills in the template of an own day: @c0, @s0 and @z0 are the deployment's first request class, pool and data hall, @z1 the next hall."""
     parsed = tomllib.loads(site.read_text())
-    for sign, table in (("c", "classes"), ("s", "services"), ("z", "zones")):
+    for letter, table in (("c", "classes"), ("s", "services"), ("z", "zones")):
         for number, each in enumerate(parsed.get(table, [])):
-            text = re.sub(rf"@{sign}{number}\b", each["name"], text)
+            text = re.sub(rf"@{letter}{number}\b", each["name"], text)
     return text
 
 
-def has_places(site):
-    """Whether halls of the deployment can be emptied: days of places make sense only there."""
+def has_placement(site):
+    """Returns whether halls of the deployment can be evacuated, which the placement days (places_*) need."""
     return "places" in tomllib.loads(site.read_text()).get("contracts", [])
 
 
 def own_days(site, folder, small, shrink=None):
-    """Own days, filled in for one deployment, in a folder that outlives the plays. Of large ones only small twins are played."""
+    """Writes the own days of this repository, filled in for a deployment, to a folder. Large deployments are played only as small twins."""
     twin = re.search(r"(?m)^small = .*$", site.read_text())
-    if machine_count(site) > MOST_MACHINES and not (small and twin):
-        print(f"own days of {site.stem} left out: too large to be played side by side; --small plays its twins", file=sys.stderr)
+    if machine_count(site) > MAX_PARALLEL_MACHINES and not (small and twin):
+        print(f"own days of {site.stem} left out: deployment too large; --small plays its twins", file=sys.stderr)
         return []
     paths = []
     for template in sorted((ROOT / "deploy/days").glob("*.toml")):
-        if template.name.startswith("places_") and not has_places(site):
+        if template.name.startswith("places_") and not has_placement(site):
             continue
         path = folder / f"{site.stem}-{template.name}"
-        text = fill_in(template.read_text(), site)
+        text = fill_template(template.read_text(), site)
         if small and twin:
             text = re.sub(r"(?m)^(name = .*)$", lambda line: line[1] + "\n" + twin[0], text)
         if shrink:
@@ -98,8 +98,8 @@
     return paths
 
 
-def scratch_copy(folder, switches, binary):
-    """A copy of the committed tree that runs the binary with the switches."""
+def make_scratch_copy(folder, switches, binary):
+    """Returns a copy of the committed tree whose instances run the binary with the switches."""
     subprocess.run(["git", "clone", "-q", "--shared", str(ROOT), str(folder)], check=True)
     (folder / "target").mkdir()
     shutil.copy(binary, folder / "target/cottonspool")
@@ -111,18 +111,18 @@
 
 
 def play(player, copy, site, day, seed, label, small):
-    """Play one day. Returns its worth, the rules that were broken, and what was counted against it."""
+    """Plays one day. Returns its worth, the broken rules, and the counted items with amount and price."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = [player, "run", str(site), day, "--no-cpu", "--report", report.name, "--why", f"Trial: {label}"]
         if seed != STANDARD_SEED:
             command += ["--seed", seed]
         if small:
             command.append("--small")
-        done = subprocess.run(command, cwd=copy, capture_output=True, text=True)
+        process = subprocess.run(command, cwd=copy, capture_output=True, text=True)
         try:
             result = json.loads(Path(report.name).read_text())
         except json.JSONDecodeError:
-            sys.exit(f"{label} {site.stem} {day}: {done.stdout[-400:]}{done.stderr[-400:]}")
+            sys.exit(f"{label} {site.stem} {day}: {process.stdout[-400:]}{process.stderr[-400:]}")
     broken = list(result["breaks"]) + ([result["fault"]] if result["fault"] else [])
     counts = {name: (amount, price) for name, amount, price in result["prices"]}
     return result["G"], broken, counts
@@ -141,15 +141,15 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("names", nargs="+", help="deployments")
     parser.add_argument("--player", required=True, help="the program that plays days")
-    parser.add_argument("--sites", required=True, type=Path, help="folder of the deployments' files")
+    parser.add_argument("--sites", required=True, type=Path, help="folder with the deployment files")
     parser.add_argument("--seeds", default=STANDARD_SEED, help="seeds, separated by commas; 0 is the day's own")
-    parser.add_argument("--switch", default="", help="mechanisms to switch in all plays")
+    parser.add_argument("--switch", default="", help="mechanisms to switch in all plays, as for --switch of the gateway")
     parser.add_argument("--ablation", action="store_true", help="switch each mechanism in turn")
     parser.add_argument("--binary", type=Path, default=ROOT / "target/cottonspool", help="program that the instances run")
-    parser.add_argument("--label", default="", help="what the trial is for; goes into the journal")
+    parser.add_argument("--label", default="", help="purpose of the trial, for the journal")
     parser.add_argument("--small", action="store_true", help="play small twins of large deployments")
     parser.add_argument("--shrink", type=float, help="with --small: how many times smaller the twins are")
-    parser.add_argument("--only", default="", help="own days to play, separated by commas, and no standard ones")
+    parser.add_argument("--only", default="", help="only these own days, separated by commas, and no standard days")
     parser.add_argument("--no-own", action="store_true", help="standard days only")
     parser.add_argument("--csv", type=Path, help="file for the table")
     parser.add_argument("--jobs", type=int, default=6)
@@ -161,7 +161,7 @@
         scratch = Path(scratch_name)
         work = []
         for variant in variants:
-            copy = scratch_copy(scratch / f"tree-{len(work)}", variant, args.binary)
+            copy = make_scratch_copy(scratch / f"tree-{len(work)}", variant, args.binary)
             for name in args.names:
                 site = find_site(args.sites.resolve(), name)
                 groups = {"trouble": standard_days(site, False), "quiet": standard_days(site, True)}
@@ -181,7 +181,7 @@
         rows = collect(work, args.names, variants)
         prices = collect_prices(work)
         if args.keep_journal:
-            keep_journal({copy for *_, copy, _ in work})
+            copy_journal({copy for *_, copy, _ in work})
     print_table(rows, args.names)
     print_prices(prices)
     if args.csv:
@@ -190,7 +190,7 @@
 
 
 def collect(work, names, variants):
-    """Mean worth of each variant, deployment and group of days, and its difference from the first variant's."""
+    """Returns the mean worth of each variant, deployment and group of days, and its difference from the first variant."""
     worth, broken, base = {}, {}, {}
     for variant, name, group, day, seed, _, future in work:
         value, rules, _ = future.result()
@@ -207,24 +207,24 @@
 
 
 def collect_prices(work):
-    """Mean amount and price of what is counted, by variant, deployment and group of days."""
-    sums = {}
+    """Returns the mean amount and price of each counted item, by variant, deployment and group of days."""
+    samples = {}
     for variant, name, group, _, _, _, future in work:
         for counted, (amount, price) in future.result()[2].items():
-            sums.setdefault((variant, name, group, counted), []).append((amount, price))
-    return {key: tuple(mean(column) for column in zip(*values)) for key, values in sums.items()}
+            samples.setdefault((variant, name, group, counted), []).append((amount, price))
+    return {key: tuple(mean(column) for column in zip(*values)) for key, values in samples.items()}
 
 
 def print_prices(prices):
-    """One line for each thing that costs more than LEAST_PRICE anywhere."""
+    """Prints one line for each counted item whose price is at least MIN_PRINTED_PRICE."""
     print("\n| switched | deployment | days | counted | amount | price |\n| --- | --- | --- | --- | --- | --- |")
     for (variant, name, group, counted), (amount, price) in prices.items():
-        if abs(price) >= LEAST_PRICE:
+        if abs(price) >= MIN_PRINTED_PRICE:
             print(f"| {variant or 'nothing'} | {name} | {group} | {counted} | {amount:.1f} | {price:.4f} |")
 
 
 def print_table(rows, names):
-    """One line for each variant, one column for each deployment and group; behind each worth its difference."""
+    """Prints one line for each variant and one column for each deployment and group, with the worth and its difference."""
     groups = sorted({(row[1], row[2]) for row in rows}, key=lambda pair: (names.index(pair[0]), pair[1]))
     print("| switched | " + " | ".join(f"{name} {group}" for name, group in groups) + " | rules broken |")
     print("| --- |" + " --- |" * (len(groups) + 1))
@@ -235,8 +235,8 @@
         print(f"| {variant} | " + " | ".join(values) + f" | {broken} |")
 
 
-def keep_journal(copies):
-    """Copy the entries that the plays wrote to this tree's journal."""
+def copy_journal(copies):
+    """Copies the journal entries of the plays to the journal of this tree."""
     for copy in copies:
         known = set(subprocess.run(["git", "ls-files", "journal"], cwd=copy, capture_output=True, text=True).stdout.split())
         staged = subprocess.run(["git", "diff", "--name-only", "HEAD", "--", "journal"], cwd=copy, capture_output=True, text=True)
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,4 +1,4 @@
-# What the demo and the bench scripts share: a folder of their own, and processes that end with the script. To be sourced.
+# To be sourced by the demo and benchmark scripts: creates a temporary folder and starts processes that end with the script.
 DIR=$(mktemp -d)
 PIDS=()
 finish() {
@@ -8,7 +8,7 @@
 }
 trap finish EXIT
 
-# Start a process under a name and wait until it says that it listens. Its id is in PID afterwards.
+# Starts a process under a name and waits until it listens. Sets PID to its id.
 start() {
 	local NAME=$1
 	shift
@@ -20,8 +20,8 @@
 	return 1
 }
 
-# The port of a stand-in.
+# Prints the port of a stand-in.
 port() { sed -n 's/^listening port=//p' "$DIR/$1.out"; }
 
-# The HTTP address of an instance.
+# Prints the HTTP address of an instance.
 address() { sed -n 's/.*event=started.* http=\([0-9.:]*\).*/\1/p' "$DIR/$1.out"; }
--- a/scripts/prove_guards.sh
+++ b/scripts/prove_guards.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Takes each guard of tests/guards.txt out in turn, in a copy of the tree, and checks that the test named there then fails.
-# Usage: scripts/prove_guards.sh [NAME ...]   Prints a line a guard, and "N passed, N failed".
+# Mutation test: removes each guard of tests/guards.txt in turn, in a copy of the tree, and checks that its test then fails.
+# Usage: scripts/prove_guards.sh [NAME ...]   Prints one line per guard, and "N passed, N failed".
 set -uo pipefail
 cd "$(dirname "$0")/.."
 COPY=$(mktemp -d)
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the fault soak of the gateway over seeds: scripts/soak.sh FIRST COUNT [JOBS [SCALE]]. Logs of failed seeds stay in build/soak/.
+# Runs the fault soak of the gateway with a range of seeds: scripts/soak.sh [FIRST [COUNT [JOBS [SCALE]]]]. Keeps logs of failed seeds in build/soak/.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 FIRST=${1:-$(date +%s)}
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds everything and runs all tests: properties, unit tests, and scenarios on real processes.
+# Builds all targets and runs all tests: unit and property tests, fuzzing, script tests and scenarios on real processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ "${CI:-}" = true ] || scripts/build.sh | tail -1
--- a/tests/scripts/play_days_test.py
+++ b/tests/scripts/play_days_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Checks which days scripts/play_days.py plays of a large deployment."""
+"""Tests which days scripts/play_days.py selects for a large deployment."""
 import importlib.util
 import tempfile
 import tomllib
@@ -37,7 +37,7 @@
     def tearDown(self):
         self.scratch.cleanup()
 
-    def test_twins_of_another_size_differ_in_nothing_else(self):
+    def test_twins_of_another_size_differ_only_in_shrink(self):
         names = play_days.standard_days(self.site, quiet=False)
         self.assertEqual(names, ["stormy"])
         (path,) = play_days.twin_days(self.site, names, 5.0, self.folder)
@@ -46,12 +46,12 @@
         day["small"]["shrink"] = 19.0
         self.assertEqual(day, tomllib.loads(SITE)["day"][1])
 
-    def test_own_days_of_large_deployments_are_played_as_twins_or_not_at_all(self):
+    def test_own_days_of_large_deployments_are_played_only_as_twins(self):
         self.assertEqual(play_days.own_days(self.site, self.folder, small=False), [])
         for path in play_days.own_days(self.site, self.folder, small=True, shrink=5.0):
             self.assertEqual(tomllib.loads(Path(path).read_text())["small"]["shrink"], 5.0)
 
-    def test_days_of_places_are_played_where_halls_can_be_emptied(self):
+    def test_placement_days_need_halls_that_can_be_evacuated(self):
         named = lambda: [path for path in play_days.own_days(self.site, self.folder, small=True) if "places_" in path]
         self.assertEqual(named(), [])
         self.site.write_text('contracts = ["places"]\nzones = [{ name = "east" }, { name = "west" }]\n' + SITE)
