--- a/src/configuration/record.cpp
+++ b/src/configuration/record.cpp
@@ -132,7 +132,7 @@
 	if (target.address.find(':') == std::string::npos) return RecordError(name + ".address", "must be IP:PORT");
 	if (target.hall.empty()) return RecordError(name + ".hall", "is required");
 	target.kind = kind == "engine" ? TargetKind::Engine : TargetKind::Service;
-	target.desired_state = desired_state == "live" ? DesiredState::Live : DesiredState::Leaving;
+	target.desired_state = desired_state == "live" ? DesiredState::Live : DesiredState::Draining;
 	return target;
 }
 
--- a/src/configuration/record_type.h
+++ b/src/configuration/record_type.h
@@ -32,7 +32,7 @@
 enum class TargetKind : uint8_t { Engine, Service };
 
 /** State that the operators want a target to have. */
-enum class DesiredState : uint8_t { Live, Leaving };
+enum class DesiredState : uint8_t { Live, Draining };
 
 /** A target. */
 struct TargetRecord {
--- a/src/decision/membership.h
+++ b/src/decision/membership.h
@@ -86,7 +86,7 @@
 	void RemoveDraining(const std::string &target);
 
 	/** @return Targets known to be draining. */
-	const std::set<DrainingTarget> &Leaving() const { return this->draining; }
+	const std::set<DrainingTarget> &Draining() const { return this->draining; }
 
 	MemberInfo self; ///< Information about this instance.
 
--- a/src/decision/peer_load.h
+++ b/src/decision/peer_load.h
@@ -12,10 +12,10 @@
 /** Update about one call of an instance. */
 struct CallUpdate {
 	enum class Kind : uint8_t {
-		At,    ///< The call is on a target: it was sent or migrated there, or has generated more tokens.
-		Ended, ///< The call has ended.
+		Active, ///< The call is on a target: it was sent or migrated there, or has generated more tokens.
+		Ended,  ///< The call has ended.
 	};
-	Kind kind = Kind::At;                              ///< What happened to the call.
+	Kind kind = Kind::Active;                          ///< What happened to the call.
 	uint64_t call = 0;                                 ///< Id of the call on the sending instance.
 	std::string target;                                ///< Target that executes the call.
 	uint32_t prompt_tokens = 0;                        ///< Length of the prompt.
--- a/src/decision/quarantine.cpp
+++ b/src/decision/quarantine.cpp
@@ -78,7 +78,7 @@
 	return std::max(Duration(0), std::chrono::duration_cast<Duration>(until - now));
 }
 
-Suspicion Quarantine::Judge(RequestFingerprint fingerprint, TimePoint now) const
+Suspicion Quarantine::Assess(RequestFingerprint fingerprint, TimePoint now) const
 {
 	if (!this->crashes.contains(fingerprint)) return Suspicion::None;
 	return this->RemainingTime(fingerprint, now) > Duration(0) ? Suspicion::Quarantined : Suspicion::Suspected;
--- a/src/decision/quarantine.h
+++ b/src/decision/quarantine.h
@@ -74,7 +74,7 @@
 	std::vector<CrashRecord> Expired(TimePoint now) const;
 
 	/** @return The suspicion against \a fingerprint at \a now; zero stands for a request without a fingerprint. */
-	Suspicion Judge(RequestFingerprint fingerprint, TimePoint now) const;
+	Suspicion Assess(RequestFingerprint fingerprint, TimePoint now) const;
 
 	/** @return Requests that are quarantined at \a now. */
 	std::vector<RequestFingerprint> Quarantined(TimePoint now) const;
--- a/src/decision/target_registry.cpp
+++ b/src/decision/target_registry.cpp
@@ -14,7 +14,7 @@
 	bool unchanged = usable == entry.usable && !changed;
 	entry.usable = usable;
 	if (unchanged) return;
-	events.push_back({usable ? TargetChange::EligibleTargets : TargetChange::Draining, entry.target, source});
+	events.push_back({usable ? TargetChange::Usable : TargetChange::Draining, entry.target, source});
 }
 
 void TargetRegistry::Terminate(Entry &entry, const char *source, TimePoint now, std::vector<TargetEvent> &events)
--- a/src/decision/target_registry.h
+++ b/src/decision/target_registry.h
@@ -11,14 +11,14 @@
 
 /** State change of a target. */
 enum class TargetChange : uint8_t {
-	EligibleTargets, ///< The target is new, has changed or is available again.
-	Draining,        ///< The target gets no new requests; its runs may finish or migrate.
-	Terminated,      ///< The target has terminated; its runs have failed.
+	Usable,     ///< The target is new, has changed or is available again.
+	Draining,   ///< The target gets no new requests; its runs may finish or migrate.
+	Terminated, ///< The target has terminated; its runs have failed.
 };
 
 /** One change of the registry. */
 struct TargetEvent {
-	TargetChange change = TargetChange::EligibleTargets;
+	TargetChange change = TargetChange::Usable;
 	ListedTarget target;     ///< The target as last listed.
 	const char *source = ""; ///< Origin of the information, for logs.
 };
--- a/src/gateway/gateway_targets.cpp
+++ b/src/gateway/gateway_targets.cpp
@@ -66,7 +66,7 @@
 	if (!log_each) Log(LogLevel::Info, "targets-changed", {{"targets", std::to_string(events.size())}, {"source", events.front().source}});
 	for (const TargetEvent &event : events) {
 		std::string name = event.target.incarnation.Name();
-		if (event.change != TargetChange::EligibleTargets) {
+		if (event.change != TargetChange::Usable) {
 			this->DrainTarget(event.target, event.source, now);
 			if (event.change == TargetChange::Terminated) this->FailCallsAt(name, now);
 			continue;
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -367,7 +367,7 @@
 {
 	if (!this->limits.publish_calls) return;
 	CallUpdate &update = this->own_calls[call.id.value];
-	update = CallUpdate{CallUpdate::Kind::At, call.id.value, target, call.prompt_tokens, generated, call.max_tokens, pool,
+	update = CallUpdate{CallUpdate::Kind::Active, call.id.value, target, call.prompt_tokens, generated, call.max_tokens, pool,
 	                    call.service_class};
 	if (!at_once) return;
 	this->pending.calls.push_back(update);
--- a/src/gateway/relay_call.cpp
+++ b/src/gateway/relay_call.cpp
@@ -103,7 +103,7 @@
 
 bool RelayCall::IsQuarantined() const
 {
-	return this->gateway.dispatcher.QuarantineState().Judge(this->request.spec.fingerprint, MonotonicNow()) == Suspicion::Quarantined;
+	return this->gateway.dispatcher.QuarantineState().Assess(this->request.spec.fingerprint, MonotonicNow()) == Suspicion::Quarantined;
 }
 
 int RelayCall::Urgency() const
--- a/src/instance/instance.cpp
+++ b/src/instance/instance.cpp
@@ -129,10 +129,10 @@
 	TargetTable &targets = this->dispatcher.Targets();
 	const TargetState &target = targets.Get(number);
 	auto record = this->configuration.State().Targets().find(target.name);
-	bool draining = record != this->configuration.State().Targets().end() && record->second.record.desired_state == DesiredState::Leaving;
+	bool draining = record != this->configuration.State().Targets().end() && record->second.record.desired_state == DesiredState::Draining;
 	draining = draining || target.report.draining || this->listed_draining.contains(target.name);
 	for (const std::string &incarnation : {target.report.incarnation, std::string()}) {
-		draining = draining || this->membership.Leaving().contains({target.name, incarnation});
+		draining = draining || this->membership.Draining().contains({target.name, incarnation});
 	}
 	if (draining == target.restrictions.draining) return;
 	if (draining) targets.MarkDraining(number);
@@ -216,7 +216,7 @@
 	if (this->heartbeat_times.size() > HEARTBEATS_REMEMBERED) this->heartbeat_times.erase(this->heartbeat_times.begin());
 	HeartbeatMessage message;
 	message.members = this->membership.NextGossip(UPDATES_PER_HEARTBEAT);
-	message.draining.assign(this->membership.Leaving().begin(), this->membership.Leaving().end());
+	message.draining.assign(this->membership.Draining().begin(), this->membership.Draining().end());
 	TimePoint confirmed = this->configuration.ConfirmedAt();
 	message.confirmed_age = confirmed == TimePoint{} ? Duration(std::chrono::hours(1)) : now - confirmed;
 	message.echoes.assign(this->received_counters.begin(), this->received_counters.end());
@@ -270,7 +270,7 @@
 	// Remove notices about targets that are no longer configured.
 	TargetTable &targets = this->dispatcher.Targets();
 	std::vector<DrainingTarget> obsolete;
-	for (const DrainingTarget &draining : this->membership.Leaving()) {
+	for (const DrainingTarget &draining : this->membership.Draining()) {
 		auto number = targets.Find(draining.target);
 		bool known = number && targets.Get(*number).restrictions.known;
 		if (!known) obsolete.push_back(draining);
--- a/src/instance/target_poller.cpp
+++ b/src/instance/target_poller.cpp
@@ -104,12 +104,12 @@
 	for (const std::string &name : chosen) {
 		const Versioned<TargetRecord> &versioned = configuration.Targets().at(name);
 		bool was_draining =
-		        this->targets_by_name.contains(name) && this->targets_by_name[name].record.desired_state == DesiredState::Leaving;
+		        this->targets_by_name.contains(name) && this->targets_by_name[name].record.desired_state == DesiredState::Draining;
 		PolledTarget &polled = this->targets_by_name[name];
 		if (polled.record.address != versioned.record.address) polled.reported = {};
 		polled.record = versioned.record;
 		this->ConfigureModels(name, polled);
-		if (polled.record.desired_state == DesiredState::Leaving) this->targets.MarkDraining(polled.number);
+		if (polled.record.desired_state == DesiredState::Draining) this->targets.MarkDraining(polled.number);
 		if (polled.record.desired_state == DesiredState::Live && was_draining) this->targets.ClearDraining(polled.number);
 	}
 }
--- a/src/tests/limit_leases_test.cpp
+++ b/src/tests/limit_leases_test.cpp
@@ -2,7 +2,7 @@
 
 /** @file limit_leases_test.cpp Instances lend parts of a rate limit where they are needed, and the total never exceeds the limit. */
 
-#include "tests/limit_world.h"
+#include "tests/limit_simulation.h"
 #include <cstdio>
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
--- a/src/tests/limit_world.cpp
+++ b/src/tests/limit_simulation.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file limit_world.cpp Implementation of the simulation of instances that share a rate limit. */
+/** @file limit_simulation.cpp Implementation of the simulation of instances that share a rate limit. */
 
-#include "tests/limit_world.h"
+#include "tests/limit_simulation.h"
 #include "core/hash_func.h"
 #include <algorithm>
 #include <cmath>
--- a/src/tests/limit_world.h
+++ b/src/tests/limit_simulation.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file limit_world.h Simulation of instances that share the rate limit of one target, without a network and in simulated time. */
+/** @file limit_simulation.h Simulation of instances that share the rate limit of one target, without a network and in simulated time. */
 
 #pragma once
 
--- a/src/tests/peer_load_test.cpp
+++ b/src/tests/peer_load_test.cpp
@@ -39,7 +39,7 @@
 
 	static CallUpdate MakeUpdate(uint64_t call, const std::string &target, uint32_t generated = 0)
 	{
-		return {CallUpdate::Kind::At, call, target, 1000, generated, 500, "pool", ServiceClass::Stream};
+		return {CallUpdate::Kind::Active, call, target, 1000, generated, 500, "pool", ServiceClass::Stream};
 	}
 
 	double KnownTokens() const
--- a/src/tests/places_test.cpp
+++ b/src/tests/placement_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file places_test.cpp Evacuated halls get no new requests, requests stay in their home regions, and cold targets keep their limit. */
+/** @file placement_test.cpp Evacuated halls get no new requests, requests stay in their home regions, and cold targets keep their limit. */
 
 #include "decision/dispatcher.h"
 #include "decision/placement_table.h"
--- a/src/tests/quarantine_world.cpp
+++ b/src/tests/quarantine_simulation.cpp
@@ -1,8 +1,8 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file quarantine_world.cpp Implementation of the simulation of a request that crashes targets. */
+/** @file quarantine_simulation.cpp Implementation of the simulation of a request that crashes targets. */
 
-#include "tests/quarantine_world.h"
+#include "tests/quarantine_simulation.h"
 #include <algorithm>
 #include <random>
 
@@ -92,7 +92,7 @@
 	void Send(RequestFingerprint fingerprint, uint32_t tries)
 	{
 		size_t instance = this->Pick(this->layout.instances);
-		if (this->quarantines[instance].Judge(fingerprint, this->now) == Suspicion::Quarantined) {
+		if (this->quarantines[instance].Assess(fingerprint, this->now) == Suspicion::Quarantined) {
 			if (fingerprint != CRASHER) this->result.innocents_rejected++;
 			return;
 		}
--- a/src/tests/quarantine_world.h
+++ b/src/tests/quarantine_simulation.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file quarantine_world.h Simulation of instances, targets and a request that crashes each target that executes it. */
+/** @file quarantine_simulation.h Simulation of instances, targets and a request that crashes each target that executes it. */
 
 #pragma once
 
--- a/src/tests/store_restore_test.cpp
+++ b/src/tests/store_restore_test.cpp
@@ -37,7 +37,7 @@
 {
 	std::string text;
 	for (const TargetEvent &event : events) {
-		if (event.target.incarnation.id == id) text += event.change == TargetChange::EligibleTargets ? "usable" : "leaving";
+		if (event.target.incarnation.id == id) text += event.change == TargetChange::Usable ? "usable" : "leaving";
 	}
 	return text;
 }
--- a/src/tests/suspension_test.cpp
+++ b/src/tests/suspension_test.cpp
@@ -61,7 +61,7 @@
 
 	void Count(const std::vector<TargetEvent> &events)
 	{
-		for (const TargetEvent &event : events) this->usable += event.change == TargetChange::EligibleTargets ? 1 : -1;
+		for (const TargetEvent &event : events) this->usable += event.change == TargetChange::Usable ? 1 : -1;
 	}
 
 	/** Run a tick. */
--- a/src/tests/target_registry_test.cpp
+++ b/src/tests/target_registry_test.cpp
@@ -156,7 +156,7 @@
 	REQUIRE(events.size() == 2);
 	CHECK(events[0].change == TargetChange::Terminated);
 	CHECK(events[0].target.incarnation.started_ms == FIRST);
-	CHECK(events[1].change == TargetChange::EligibleTargets);
+	CHECK(events[1].change == TargetChange::Usable);
 	CHECK(events[1].target.incarnation.started_ms == SECOND);
 	// A late row of the old incarnation is ignored.
 	CHECK(registry.OnChanges({Row(0, false, FIRST)}, now).empty());
@@ -165,7 +165,7 @@
 	REQUIRE(events.size() == 2);
 	CHECK(events[0].change == TargetChange::Terminated);
 	CHECK(events[0].target.incarnation.started_ms == FIRST);
-	CHECK(events[1].change == TargetChange::EligibleTargets);
+	CHECK(events[1].change == TargetChange::Usable);
 	CHECK(events[1].target.incarnation.started_ms == SECOND);
 	// A late notice of the old incarnation does not affect the new one.
 	CHECK(registry.OnDrainNotice(TargetIncarnation{"target-1", FIRST}.Name(), "own-notice", now).empty());
@@ -195,8 +195,8 @@
 			if (step % 5 == 4) events = registry.OnTick(now);
 			for (const TargetEvent &event : events) {
 				std::string name = event.target.incarnation.Name();
-				RC_ASSERT(event.change != TargetChange::EligibleTargets || !over.contains(name));
-				usable[name] = event.change == TargetChange::EligibleTargets;
+				RC_ASSERT(event.change != TargetChange::Usable || !over.contains(name));
+				usable[name] = event.change == TargetChange::Usable;
 				if (event.change == TargetChange::Terminated) over.insert(name);
 			}
 			for (const auto &[name, used] : usable) RC_ASSERT(!used || name == (TargetIncarnation{"target-0", started_ms}.Name()));
