--- a/tests/fuzz/decoders.cpp
+++ b/tests/fuzz/decoders.cpp
@@ -89,7 +89,8 @@
 /** @return One encoded peer message of each kind that gateways use. */
 static std::vector<std::string> PeerMessages()
 {
-	LoadMessage load{"g1", 7, true, {{CallUpdate::Kind::At, 3, "i-1@abc123", 100, 20, 300, "pool", ServiceClass::Stream}}, {{"i-1", {}}}};
+	LoadMessage load{
+	        "g1", 7, true, {{CallUpdate::Kind::Active, 3, "i-1@abc123", 100, 20, 300, "pool", ServiceClass::Stream}}, {{"i-1", {}}}};
 	TablesMessage tables{"g1", "hall", false, {{"t", {3, 1}, {3, 2}, true, true, {{"key", "value", 2, false}}}}};
 	HallLoadMessage halls;
 	halls.hall = "hall";
