--- a/src/configuration/configuration_state.cpp
+++ b/src/configuration/configuration_state.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file configuration_state.cpp The configuration in force at one instance. */
+/** @file configuration_state.cpp Implementation of the configuration in force at one instance. */
 
 #include "configuration/configuration_state.h"
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-/** @return The first bytes of \a digest, to look an account up by. */
+/** @return The first bytes of \a digest, as the key of the account index. */
 static uint64_t KeyIndex(const KeyDigest &digest)
 {
 	uint64_t index = 0;
@@ -24,20 +24,20 @@
 	if (entry.sequence != this->sequence + 1) return false;
 	this->sequence = entry.sequence;
 	for (const RecordChange &record : entry.change.records) this->ApplyRecord(record, entry.sequence);
-	this->Remember({entry.change.id, entry.change.author, entry.sequence});
+	this->RecordAccepted({entry.change.id, entry.change.author, entry.sequence});
 	return true;
 }
 
-void ConfigurationState::Remember(AcceptedChange change)
+void ConfigurationState::RecordAccepted(AcceptedChange change)
 {
 	this->accepted.push_back(std::move(change));
-	if (this->accepted.size() > MAX_REMEMBERED) this->accepted.pop_front();
+	if (this->accepted.size() > MAX_ACCEPTED_CHANGES) this->accepted.pop_front();
 }
 
-void ConfigurationState::SetAccount(const std::string &name, const AccountRecord &account, uint64_t at)
+void ConfigurationState::SetAccount(const std::string &name, const AccountRecord &account, uint64_t entry_sequence)
 {
 	this->RemoveAccount(name);
-	auto added = this->accounts.emplace(name, Versioned<AccountRecord>{account, at}).first;
+	auto added = this->accounts.emplace(name, Versioned<AccountRecord>{account, entry_sequence}).first;
 	this->keys.emplace(KeyIndex(account.key), &*added);
 }
 
@@ -54,38 +54,38 @@
 	this->accounts.erase(found);
 }
 
-/** Put the parsed \a record into \a records, or take it out; content that cannot be read is left out. */
+/** Applies \a change to \a records: inserts or replaces the parsed record, or removes it. Invalid content is ignored. */
 template <typename Record, typename Parse>
-static void ApplyTo(std::map<std::string, Versioned<Record>> &records, const RecordChange &change, uint64_t at, Parse parse)
+static void ApplyTo(std::map<std::string, Versioned<Record>> &records, const RecordChange &change, uint64_t entry_sequence, Parse parse)
 {
 	if (change.removed) {
 		records.erase(change.name);
 		return;
 	}
 	Result<Record> record = parse(change.name, change.content);
-	if (record) records[change.name] = Versioned<Record>{record.value(), at};
+	if (record) records[change.name] = Versioned<Record>{record.value(), entry_sequence};
 }
 
-void ConfigurationState::ApplyRecord(const RecordChange &record, uint64_t at)
+void ConfigurationState::ApplyRecord(const RecordChange &record, uint64_t entry_sequence)
 {
-	if (record.removed) this->removed[{record.kind, record.name}] = at;
+	if (record.removed) this->removed[{record.kind, record.name}] = entry_sequence;
 	switch (record.kind) {
 	case RecordKind::Account:
 		if (record.removed) return this->RemoveAccount(record.name);
-		if (auto account = ParseAccount(record.name, record.content)) this->SetAccount(record.name, account.value(), at);
+		if (auto account = ParseAccount(record.name, record.content)) this->SetAccount(record.name, account.value(), entry_sequence);
 		return;
 	case RecordKind::Model:
-		return ApplyTo(this->models, record, at, ParseModel);
+		return ApplyTo(this->models, record, entry_sequence, ParseModel);
 	case RecordKind::Target:
-		return ApplyTo(this->targets, record, at, ParseTarget);
+		return ApplyTo(this->targets, record, entry_sequence, ParseTarget);
 	case RecordKind::Share:
-		return ApplyTo(this->shares, record, at, ParseShare);
+		return ApplyTo(this->shares, record, entry_sequence, ParseShare);
 	case RecordKind::Policy:
-		return ApplyTo(this->policies, record, at, ParsePolicy);
+		return ApplyTo(this->policies, record, entry_sequence, ParsePolicy);
 	}
 }
 
-/** Write \a records under \a kind, with the sequence that set each. */
+/** Writes \a records as field \a kind of \a to, each with the sequence that set it. */
 template <typename Records, typename Format> static void WriteRecords(Json &to, const char *kind, const Records &records, Format format)
 {
 	Json list = Json::array();
@@ -107,12 +107,13 @@
 		return halls.dump();
 	});
 	WriteRecords(document, "policy", this->policies, [](const PolicyRecord &policy) { return Json{{"program", policy.program}}.dump(); });
-	Json remembered = Json::array();
-	for (const AcceptedChange &change : this->accepted) remembered.push_back({change.id, change.author, change.sequence});
-	document["accepted"] = std::move(remembered);
-	Json gone = Json::array();
-	for (const auto &[key, at] : this->removed) gone.push_back({static_cast<int>(key.first), key.second, at});
-	document["removed"] = std::move(gone);
+	Json accepted_changes = Json::array();
+	for (const AcceptedChange &change : this->accepted) accepted_changes.push_back({change.id, change.author, change.sequence});
+	document["accepted"] = std::move(accepted_changes);
+	Json removed_records = Json::array();
+	for (const auto &[key, entry_sequence] : this->removed)
+		removed_records.push_back({static_cast<int>(key.first), key.second, entry_sequence});
+	document["removed"] = std::move(removed_records);
 	return document.dump();
 }
 
@@ -120,7 +121,7 @@
 {
 	Json document = Json::parse(snapshot, nullptr, false);
 	if (!document.is_object() || !document["sequence"].is_number_unsigned()) {
-		return Error{Step::Configuration, "snapshot", "cannot be read"};
+		return Error{Step::Configuration, "snapshot", "must be a JSON object with a sequence"};
 	}
 	if (document["sequence"].get<uint64_t>() <= this->sequence) return false;
 	ConfigurationState loaded;
@@ -131,7 +132,7 @@
 				loaded.ApplyRecord({kind, item.at(0), false, item.at(2)}, item.at(1).get<uint64_t>());
 			}
 		}
-		for (const Json &item : document.at("accepted")) loaded.Remember({item.at(0), item.at(1), item.at(2)});
+		for (const Json &item : document.at("accepted")) loaded.RecordAccepted({item.at(0), item.at(1), item.at(2)});
 		for (const Json &item : document.at("removed"))
 			loaded.removed[{static_cast<RecordKind>(item.at(0).get<int>()), item.at(1)}] = item.at(2);
 	} catch (const Json::exception &error) {
@@ -166,8 +167,8 @@
 		changed = in(this->policies);
 		break;
 	}
-	auto gone = this->removed.find({kind, name});
-	return gone == this->removed.end() ? changed : std::max(changed, gone->second);
+	auto removed_records = this->removed.find({kind, name});
+	return removed_records == this->removed.end() ? changed : std::max(changed, removed_records->second);
 }
 
 std::optional<AcceptedChange> ConfigurationState::FindConflict(const Change &change) const
@@ -178,7 +179,7 @@
 		for (const AcceptedChange &other : this->accepted) {
 			if (other.sequence == changed) return other;
 		}
-		return AcceptedChange{"(no longer remembered)", "(no longer remembered)", changed};
+		return AcceptedChange{"(no longer recorded)", "(no longer recorded)", changed};
 	}
 	return std::nullopt;
 }
--- a/src/configuration/record.cpp
+++ b/src/configuration/record.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file record.cpp Parsing and writing of records and changes. */
+/** @file record.cpp Parsing and formatting of configuration records and changes. */
 
 #include "configuration/record_type.h"
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 using Json = nlohmann::json;
 
 static constexpr std::array<const char *, RECORD_KIND_COUNT> KIND_NAMES{"account", "model", "target", "share", "policy"};
-static constexpr size_t MAX_RECORD_NAME = 128; ///< Longest name of a record.
+static constexpr size_t MAX_RECORD_NAME = 128; ///< Maximum length of the name of a record.
 
 const char *RecordKindName(RecordKind kind)
 {
@@ -25,7 +25,7 @@
 	return Error{Step::Configuration, name, what};
 }
 
-/** @return The object in \a content when it has no field but \a allowed. */
+/** @return The JSON object in \a content, or an error if it has a field that is not in \a allowed. */
 static Result<Json> ParseObject(const std::string &name, const std::string &content, const std::set<std::string> &allowed)
 {
 	Json object = Json::parse(content, nullptr, false);
@@ -36,19 +36,19 @@
 	return object;
 }
 
-/** Read field \a key into \a to when it is there; it must be of the type of \a to. */
+/** Reads the optional field \a key into \a to, or returns an error if the field has the wrong type. */
 template <typename Value> static Result<void> ReadField(const Json &object, const std::string &name, const char *key, Value *to)
 {
 	if (!object.contains(key)) return outcome::success();
 	const Json &field = object[key];
-	bool fits = std::is_same_v<Value, bool>          ? field.is_boolean()
-	            : std::is_same_v<Value, std::string> ? field.is_string()
-	                                                 : field.is_number();
+	bool valid = std::is_same_v<Value, bool>          ? field.is_boolean()
+	             : std::is_same_v<Value, std::string> ? field.is_string()
+	                                                  : field.is_number();
 	if constexpr (std::is_same_v<Value, std::vector<std::string>>) {
-		fits = field.is_array() && std::all_of(field.begin(), field.end(), [](const Json &item) { return item.is_string(); });
+		valid = field.is_array() && std::all_of(field.begin(), field.end(), [](const Json &item) { return item.is_string(); });
 	}
-	if constexpr (std::is_same_v<Value, uint32_t>) fits = field.is_number_unsigned() && field.get<uint64_t>() <= UINT32_MAX;
-	if (!fits) return RecordError(name + "." + key, "has the wrong type or range");
+	if constexpr (std::is_same_v<Value, uint32_t>) valid = field.is_number_unsigned() && field.get<uint64_t>() <= UINT32_MAX;
+	if (!valid) return RecordError(name + "." + key, "has the wrong type or range");
 	*to = field.get<Value>();
 	return outcome::success();
 }
@@ -117,22 +117,22 @@
 	        object, ParseObject(name, content, {"kind", "address", "hall", "serves", "wish", "checks_fences", "reports", "slots", "role"}));
 	TargetRecord target;
 	std::string kind = "engine";
-	std::string wish = "live";
+	std::string desired_state = "live";
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "kind", &kind));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "address", &target.address));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "hall", &target.hall));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "serves", &target.serves));
-	BOOST_OUTCOME_TRYV(ReadField(object, name, "wish", &wish));
+	BOOST_OUTCOME_TRYV(ReadField(object, name, "wish", &desired_state));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "checks_fences", &target.checks_fences));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "reports", &target.reports));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "slots", &target.slots));
 	BOOST_OUTCOME_TRYV(ReadField(object, name, "role", &target.role));
 	if (kind != "engine" && kind != "service") return RecordError(name + ".kind", "must be engine or service");
-	if (wish != "live" && wish != "leaving") return RecordError(name + ".wish", "must be live or leaving");
+	if (desired_state != "live" && desired_state != "leaving") return RecordError(name + ".wish", "must be live or leaving");
 	if (target.address.find(':') == std::string::npos) return RecordError(name + ".address", "must be IP:PORT");
 	if (target.hall.empty()) return RecordError(name + ".hall", "is required");
 	target.kind = kind == "engine" ? TargetKind::Engine : TargetKind::Service;
-	target.wish = wish == "live" ? TargetWish::Live : TargetWish::Leaving;
+	target.desired_state = desired_state == "live" ? DesiredState::Live : DesiredState::Draining;
 	return target;
 }
 
@@ -156,7 +156,7 @@
 	return policy;
 }
 
-/** @return Only whether \a parsed is an error. */
+/** @return The error of \a parsed, if there is one. */
 template <typename Record> static Result<void> Discard(const Result<Record> &parsed)
 {
 	if (!parsed) return parsed.error();
@@ -194,7 +194,7 @@
 	            {"address", target.address},
 	            {"hall", target.hall},
 	            {"serves", target.serves},
-	            {"wish", target.wish == TargetWish::Live ? "live" : "leaving"},
+	            {"wish", target.desired_state == DesiredState::Live ? "live" : "leaving"},
 	            {"checks_fences", target.checks_fences},
 	            {"reports", target.reports},
 	            {"slots", target.slots}};
@@ -202,7 +202,7 @@
 	return object.dump();
 }
 
-/** @return The kind named \a name. */
+/** @return The record kind with this name. */
 static Result<RecordKind> ParseKind(const std::string &name)
 {
 	for (size_t i = 0; i < RECORD_KIND_COUNT; i++) {
@@ -211,7 +211,7 @@
 	return RecordError(name, "no such kind; there are account, model, target, share, policy");
 }
 
-/** @return The change in \a object. */
+/** @return The change described by \a object. */
 static Result<Change> ReadChange(const Json &object)
 {
 	if (!object.is_object()) return RecordError("change", "must be an object");
@@ -253,7 +253,7 @@
 	return Entry{object["sequence"].get<uint64_t>(), std::move(change)};
 }
 
-/** @return \a change as an object. */
+/** @return \a change as a JSON object. */
 static Json WriteChange(const Change &change)
 {
 	Json records = Json::array();
--- a/src/decision/cell_division.cpp
+++ b/src/decision/cell_division.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file cell_division.cpp Into how many cells a large fleet is divided. */
+/** @file cell_division.cpp Implementation of the partitioning of a large fleet into cells. */
 
 #include "decision/cell_division.h"
 #include "core/hash_func.h"
@@ -10,61 +10,62 @@
 
 namespace cottonspool {
 
-/** @return The number of cells for a fleet whose largest hall has \a in_hall instances. */
-static uint32_t CellsFor(size_t in_hall)
+/** @return The number of cells for a fleet whose largest hall has \a largest_hall instances. */
+static uint32_t CellCountFor(size_t largest_hall)
 {
-	if (in_hall <= CellDivision::UNDIVIDED_MOST) return 1;
-	uint32_t cells = CellDivision::FIRST_DIVISION;
-	while (in_hall > CellDivision::CELL_MOST * cells) cells *= 2;
+	if (largest_hall <= CellDivision::MAX_UNDIVIDED_INSTANCES) return 1;
+	uint32_t cells = CellDivision::MIN_DIVIDED_CELLS;
+	while (largest_hall > CellDivision::MAX_CELL_INSTANCES * cells) cells *= 2;
 	return cells;
 }
 
-/** @return Whether \a cells may stay as they are with \a in_hall instances in the largest hall. */
-static bool MayKeep(uint32_t cells, size_t in_hall)
+/** @return Whether \a cells is still appropriate for \a largest_hall instances in the largest hall. */
+static bool CanKeepCells(uint32_t cells, size_t largest_hall)
 {
-	if (cells == 1) return in_hall <= CellDivision::UNDIVIDED_MOST;
-	return in_hall <= CellDivision::CELL_MOST * cells && in_hall >= CellDivision::CELL_LEAST * cells;
+	if (cells == 1) return largest_hall <= CellDivision::MAX_UNDIVIDED_INSTANCES;
+	return largest_hall <= CellDivision::MAX_CELL_INSTANCES * cells && largest_hall >= CellDivision::MIN_CELL_INSTANCES * cells;
 }
 
 CellDivision::CellDivision(std::string_view own_name) : own_hash(HashText(own_name))
 {
 }
 
-bool CellDivision::Decide(CellCount decision)
+bool CellDivision::SetCount(CellCount new_count)
 {
-	bool changed = decision.cells != this->count.cells;
-	this->count = decision;
+	bool changed = new_count.cells != this->count.cells;
+	this->count = new_count;
 	return changed;
 }
 
-bool CellDivision::OnList(size_t now_in_hall, StoreVersion version, bool growing)
+bool CellDivision::OnInstanceList(size_t new_largest_hall, StoreVersion version, bool bootstrapping)
 {
-	bool first = !this->list.IsKnown();
-	this->in_hall = now_in_hall;
-	this->list = version;
-	this->is_growing = growing;
-	uint32_t cells = CellsFor(now_in_hall);
-	if (growing) return this->count.decided < version && this->Decide({cells, version});
-	// Who reads the list at its start does not know yet whether the others keep to another number, which may stay.
-	if (first && !this->count.decided.IsKnown()) return this->Decide({cells, {}});
-	return !MayKeep(this->count.cells, now_in_hall) && this->Decide({cells, version});
+	bool is_first_list = !this->list_version.IsKnown();
+	this->largest_hall = new_largest_hall;
+	this->list_version = version;
+	this->is_bootstrapping = bootstrapping;
+	uint32_t cells = CellCountFor(new_largest_hall);
+	if (bootstrapping) return this->count.decided_at < version && this->SetCount({cells, version});
+	// At startup the number of cells that the peers use is unknown, so this local number must not override theirs.
+	if (is_first_list && !this->count.decided_at.IsKnown()) return this->SetCount({cells, {}});
+	return !CanKeepCells(this->count.cells, new_largest_hall) && this->SetCount({cells, version});
 }
 
-bool CellDivision::OnChanges(size_t now_in_hall, StoreVersion version)
+bool CellDivision::OnInstanceChanges(size_t new_largest_hall, StoreVersion version)
 {
-	this->in_hall = now_in_hall;
-	// A list with gaps may lack some, so it never tells that there are too few.
-	bool too_many = now_in_hall > this->count.cells * CELL_MOST && !MayKeep(this->count.cells, now_in_hall);
-	return too_many && this->count.decided < version && this->Decide({CellsFor(now_in_hall), version});
+	this->largest_hall = new_largest_hall;
+	// Incremental changes can miss instances, so they may only increase the number of cells.
+	bool too_many = new_largest_hall > this->count.cells * MAX_CELL_INSTANCES && !CanKeepCells(this->count.cells, new_largest_hall);
+	return too_many && this->count.decided_at < version && this->SetCount({CellCountFor(new_largest_hall), version});
 }
 
-bool CellDivision::OnTold(CellCount told)
+bool CellDivision::OnPeerCellCount(CellCount peer_cells)
 {
-	if (!std::has_single_bit(told.cells) || told == this->count) return false;
-	if (told.decided == this->count.decided) return told.cells > this->count.cells && this->Decide(told);
-	if (told.decided < this->count.decided) return false;
-	bool knows_better = this->list.IsKnown() && !this->is_growing && told.decided < this->list && !MayKeep(told.cells, this->in_hall);
-	return this->Decide(knows_better ? CellCount{CellsFor(this->in_hall), this->list} : told);
+	if (!std::has_single_bit(peer_cells.cells) || peer_cells == this->count) return false;
+	if (peer_cells.decided_at == this->count.decided_at) return peer_cells.cells > this->count.cells && this->SetCount(peer_cells);
+	if (peer_cells.decided_at < this->count.decided_at) return false;
+	bool has_newer_list = this->list_version.IsKnown() && !this->is_bootstrapping && peer_cells.decided_at < this->list_version &&
+	                      !CanKeepCells(peer_cells.cells, this->largest_hall);
+	return this->SetCount(has_newer_list ? CellCount{CellCountFor(this->largest_hall), this->list_version} : peer_cells);
 }
 
 bool CellDivision::IsOwn(std::string_view instance) const
@@ -78,43 +79,43 @@
 
 void TargetDivision::Divide(const std::vector<TargetRow> &all, uint32_t cells)
 {
-	this->parts.clear();
+	this->shards.clear();
 	if (cells <= 1) return;
-	std::map<std::pair<std::string, std::string>, size_t> numbers;
+	std::map<std::pair<std::string, std::string>, size_t> target_counts;
 	for (const TargetRow &row : all) {
-		if (row.target) numbers[{row.target->pool, row.target->hall}]++;
+		if (row.target) target_counts[{row.target->pool, row.target->hall}]++;
 	}
-	for (const auto &[place, number] : numbers) {
-		uint32_t parts = 1;
-		while (2 * parts <= cells && number >= KEPT_LEAST * 2 * parts) parts *= 2;
-		if (parts > 1) this->parts.push_back({place.first, place.second, parts});
+	for (const auto &[pool_and_hall, number] : target_counts) {
+		uint32_t shards = 1;
+		while (2 * shards <= cells && number >= MIN_TARGETS_PER_CELL * 2 * shards) shards *= 2;
+		if (shards > 1) this->shards.push_back({pool_and_hall.first, pool_and_hall.second, shards});
 	}
 }
 
-bool TargetDivision::Set(std::vector<PoolParts> divided)
+bool TargetDivision::Set(std::vector<PoolShards> divided)
 {
-	// Hashes are compared by their last bits: only powers of two divide without moving others.
-	std::erase_if(divided, [](const PoolParts &each) { return !std::has_single_bit(each.parts); });
-	if (divided == this->parts) return false;
-	this->parts = std::move(divided);
+	// Targets are assigned by the low bits of their hash, so the number of shards has to be a power of two.
+	std::erase_if(divided, [](const PoolShards &each) { return !std::has_single_bit(each.shards); });
+	if (divided == this->shards) return false;
+	this->shards = std::move(divided);
 	return true;
 }
 
-uint32_t TargetDivision::PartsOf(std::string_view pool, std::string_view hall) const
+uint32_t TargetDivision::ShardsOf(std::string_view pool, std::string_view hall) const
 {
-	auto found = std::find_if(this->parts.begin(), this->parts.end(),
-	                          [&](const PoolParts &each) { return each.pool == pool && each.hall == hall; });
-	return found == this->parts.end() ? 1 : found->parts;
+	auto found = std::find_if(this->shards.begin(), this->shards.end(),
+	                          [&](const PoolShards &each) { return each.pool == pool && each.hall == hall; });
+	return found == this->shards.end() ? 1 : found->shards;
 }
 
 bool TargetDivision::IsOwn(const ListedTarget &target) const
 {
-	return (HashText(target.life.id) ^ this->own_hash) % this->PartsOf(target.pool, target.hall) == 0;
+	return (HashText(target.incarnation.id) ^ this->own_hash) % this->ShardsOf(target.pool, target.hall) == 0;
 }
 
 double TargetDivision::ShareOf(std::string_view pool, std::string_view hall, uint32_t cells) const
 {
-	return std::min(1.0, static_cast<double>(this->PartsOf(pool, hall)) / std::max(1U, cells));
+	return std::min(1.0, static_cast<double>(this->ShardsOf(pool, hall)) / std::max(1U, cells));
 }
 
 } // namespace cottonspool
--- a/src/gateway/gateway_store.cpp
+++ b/src/gateway/gateway_store.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file gateway_store.cpp The tables of the store that a gateway follows, and what becomes of the operators' one. */
+/** @file gateway_store.cpp The tables of the store that a gateway follows, and the use of the configuration. */
 
 #include "gateway/gateway.h"
 #include "metrics/log.h"
@@ -10,145 +10,147 @@
 
 void Gateway::WatchStore()
 {
-	this->FollowOperators();
+	this->FollowConfiguration();
 	this->FollowTargets();
 	this->FollowInstances();
-	TableWatch &end_watch = this->ends.Watch();
-	this->LogStoreState(end_watch, "ends", [this](TimePoint) { this->ends.OnOtherStore(); });
-	this->ends.writes_first = [this](const EndRecord &end) { return this->peers.ReadsReportsOf(EndKey(end)); };
+	TableWatch &crash_watch = this->crash_records.Watch();
+	this->LogStoreState(crash_watch, "ends", [this](TimePoint) { this->crash_records.OnStoreRestored(); });
+	this->crash_records.rewrites_first = [this](const CrashRecord &crash) { return this->peers.ReadsReportsOf(CrashKey(crash)); };
 	this->peers.Share(this->configuration_watch);
 	this->peers.Share(this->target_watch);
-	this->peers.ShareWith(end_watch, this->target_watch);
-	this->configuration_watch.WaitForReturnAt(this->target_watch);
-	this->peers.WaitForReturnAt(this->target_watch);
+	this->peers.ShareWith(crash_watch, this->target_watch);
+	this->configuration_watch.SetRecoveryProbe(this->target_watch);
+	this->peers.SetRecoveryProbe(this->target_watch);
 	this->peers.ShareDivision(this->division, TARGET_TABLE);
-	this->peers.on_listed = [this](TimePoint at) { this->OnListed(at); };
+	this->peers.on_listed = [this](TimePoint at) { this->OnInstancesListed(at); };
 }
 
-void Gateway::BeginTables(TimePoint now)
+void Gateway::StartTables(TimePoint now)
 {
-	if (this->tables_begun) return;
-	TableStart start = this->peers.StartOfTables(now);
-	if (start == TableStart::NotYet) return;
-	this->tables_begun = true;
+	if (this->tables_started) return;
+	TableSource source = this->peers.ChooseTableSource(now);
+	if (source == TableSource::Undecided) return;
+	this->tables_started = true;
 	this->cells = this->peers.Cells();
 	for (TableWatch *watch : {&this->configuration_watch, &this->target_watch}) {
-		Duration wait = start == TableStart::Ask ? this->peers.WaitForTable() : Duration(0);
+		Duration wait = source == TableSource::FromPeers ? this->peers.TableTimeout() : Duration(0);
 		Log(LogLevel::Info, "table-begun",
-		    {{"table", watch->Table()}, {"ask", start == TableStart::Ask ? "yes" : "no"}, {"read_in_ms", FormatMilliseconds(wait)}});
+		    {{"table", watch->Table()},
+		     {"ask", source == TableSource::FromPeers ? "yes" : "no"},
+		     {"read_in_ms", FormatMilliseconds(wait)}});
 		if (wait > Duration(0)) {
-			watch->StartAmongOthers(now + wait);
+			watch->StartFromPeers(now + wait);
 		} else {
 			watch->Start(now);
 		}
 	}
-	// Not later: an instance that starts among others hears of the ends with the first news of the targets.
-	this->ends.Watch().Start(now);
+	// At the same time, as an instance that starts among others receives crash records along with its first updates of the targets.
+	this->crash_records.Watch().Start(now);
 }
 
-void Gateway::OnListed(TimePoint now)
+void Gateway::OnInstancesListed(TimePoint now)
 {
-	this->BeginTables(now);
-	if (!this->tables_begun || this->cells == this->peers.Cells()) return;
+	this->StartTables(now);
+	if (!this->tables_started || this->cells == this->peers.Cells()) return;
 	this->cells = this->peers.Cells();
 	this->sharers.clear();
-	this->target_watch.Renew(now + this->peers.WaitForTable());
+	this->target_watch.RefreshSnapshot(now + this->peers.TableTimeout());
 }
 
-void Gateway::SelectTargets(std::vector<StoredRow> &rows, bool whole)
+void Gateway::SelectTargets(std::vector<StoredRow> &rows, bool is_snapshot)
 {
-	uint32_t among = this->peers.Cells();
-	if (among == 1 && this->division.Parts().empty()) return;
+	uint32_t cell_count = this->peers.Cells();
+	if (cell_count == 1 && this->division.Shards().empty()) return;
 	std::vector<TargetRow> targets;
 	for (const StoredRow &row : rows) {
 		Result<TargetRow> target = DecodeTargetRow(row);
 		targets.push_back(target ? std::move(target.value()) : TargetRow{row.key, std::nullopt});
 	}
-	if (whole) this->division.Divide(targets, among);
+	if (is_snapshot) this->division.Divide(targets, cell_count);
 	size_t kept = 0;
 	for (size_t i = 0; i < rows.size(); i++) {
-		// Removals and rows that can't be read tell no pool: all get them, as they may be of a target that is known.
+		// Removed and unreadable rows name no pool, so all cells keep them: they may belong to a known target.
 		bool own = !targets[i].target || this->division.IsOwn(*targets[i].target);
 		if (own) std::swap(rows[kept++], rows[i]);
 	}
-	if (whole)
+	if (is_snapshot)
 		Log(LogLevel::Info, "targets-divided",
-		    {{"cells", std::to_string(among)}, {"listed", std::to_string(rows.size())}, {"own", std::to_string(kept)}});
+		    {{"cells", std::to_string(cell_count)}, {"listed", std::to_string(rows.size())}, {"own", std::to_string(kept)}});
 	rows.resize(kept);
 }
 
-void Gateway::FollowOperators()
+void Gateway::FollowConfiguration()
 {
 	TableWatch &watch = this->configuration_watch;
-	this->LogStoreState(watch, "configuration", [this](TimePoint at) { this->places.OnOtherStore(at); });
-	watch.on_all = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnOperatorRows(rows, true, at); };
+	this->LogStoreState(watch, "configuration", [this](TimePoint at) { this->placement.OnStoreRestored(at); });
+	watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnOperatorRows(rows, true, at); };
 	watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnOperatorRows(rows, false, at); };
 }
 
 void Gateway::FollowTargets()
 {
 	TableWatch &watch = this->target_watch;
-	this->LogStoreState(watch, "targets", [this](TimePoint at) { this->registry.OnOtherStore(at); });
-	watch.on_regained = [this, log = watch.on_regained](Duration away, TimePoint at) {
+	this->LogStoreState(watch, "targets", [this](TimePoint at) { this->registry.OnStoreRestored(at); });
+	watch.on_reconnected = [this, log = watch.on_reconnected](Duration away, TimePoint at) {
 		log(away, at);
-		this->registry.OnStoreRegained(at);
+		this->registry.OnStoreReconnected(at);
 	};
-	watch.select = [this](std::vector<StoredRow> &rows, bool whole) { this->SelectTargets(rows, whole); };
-	watch.on_all = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnTargetRows(rows, true, at); };
+	watch.filter_rows = [this](std::vector<StoredRow> &rows, bool is_snapshot) { this->SelectTargets(rows, is_snapshot); };
+	watch.on_snapshot = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnTargetRows(rows, true, at); };
 	watch.on_changes = [this](const std::vector<StoredRow> &rows, TimePoint at) { this->OnTargetRows(rows, false, at); };
 }
 
 void Gateway::FollowInstances()
 {
-	this->LogStoreState(this->peers.Watch(), "instances", [this](TimePoint at) { this->peers.OnOtherStore(at); });
-	this->peers.make_hall_load = [this](TimePoint at) { return this->hall_load.Tell(at); };
-	this->peers.known_signs = [this](TimePoint at) { return this->KnownSigns(at); };
-	this->peers.on_signs = [this](const SignNews &news) { this->OnPeerSigns(news); };
-	this->peers.on_lease_ask = [this](const LeaseAskMessage &ask) { return this->OnLeaseAsk(ask); };
+	this->LogStoreState(this->peers.Watch(), "instances", [this](TimePoint at) { this->peers.OnStoreRestored(at); });
+	this->peers.make_hall_load = [this](TimePoint at) { return this->hall_load.BuildMessage(at); };
+	this->peers.known_signals = [this](TimePoint at) { return this->KnownSignals(at); };
+	this->peers.on_signals = [this](const TargetSignalUpdate &update) { this->OnPeerSignals(update); };
+	this->peers.on_lease_request = [this](const LeaseRequestMessage &request) { return this->OnLeaseRequest(request); };
 	this->peers.on_lease_grant = [this](const LeaseGrantMessage &grant) { this->OnLeaseGrant(grant); };
 	this->peers.on_hall_load = [this](const HallLoadMessage &message) { this->OnHallLoad(message); };
 }
 
-void Gateway::LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_other_store)
+void Gateway::LogStoreState(TableWatch &watch, const char *table, std::function<void(TimePoint)> on_store_restored)
 {
-	// Which version was known, which was read and what the others' mark is tells a store that went back from one that is slow.
-	watch.on_lost = [&watch, table](const RowsAnswer &answer, TimePoint) {
+	// The versions in these lines distinguish a store that was restored from a backup from one that lags.
+	watch.on_unavailable = [&watch, table](const RowsAnswer &answer, TimePoint) {
 		Log(LogLevel::Warning, "store-lost",
 		    {{"table", table},
 		     {"failure", StoreFailureName(answer.failure)},
 		     {"cause", answer.cause},
 		     {"known", FormatVersion(watch.Version())}});
 	};
-	watch.on_regained = [&watch, table](Duration away, TimePoint) {
+	watch.on_reconnected = [&watch, table](Duration away, TimePoint) {
 		Log(LogLevel::Info, "store-regained",
 		    {{"table", table},
 		     {"away_ms", FormatMilliseconds(away)},
 		     {"known", FormatVersion(watch.Version())},
 		     {"last_change", FormatVersion(watch.RowsVersion())}});
 	};
-	watch.on_older = [&watch, table](StoreVersion read) {
+	watch.on_stale_snapshot = [&watch, table](StoreVersion read) {
 		Log(LogLevel::Warning, "store-older", {{"table", table}, {"known", FormatVersion(watch.Version())}, {"read", FormatVersion(read)}});
 	};
-	watch.on_other_store = [this, table, then = std::move(on_other_store)](const StoreChange &change, TimePoint at) {
+	watch.on_store_restored = [this, table, then = std::move(on_store_restored)](const StoreEpochChange &change, TimePoint at) {
 		this->metrics.Count("cottonspool_store_changes_total{table=\"" + std::string(table) + "\"}");
 		Log(LogLevel::Warning, "store-other",
 		    {{"table", table},
 		     {"known", FormatVersion(change.known)},
 		     {"read", FormatVersion(change.read)},
-		     {"source", change.told ? "peer" : "store"}});
+		     {"source", change.from_peer ? "peer" : "store"}});
 		then(at);
 	};
 }
 
-void Gateway::OnOperatorRows(const std::vector<StoredRow> &rows, bool all, TimePoint now)
+void Gateway::OnOperatorRows(const std::vector<StoredRow> &rows, bool is_snapshot, TimePoint now)
 {
-	this->OnEmptiedRows(rows, all, now);
+	this->OnEvacuationRows(rows, is_snapshot, now);
 	this->OnConfigurationRows(rows);
 }
 
 void Gateway::OnConfigurationRows(const std::vector<StoredRow> &rows)
 {
-	// Several versions may come at once: only the newest is worth reading.
+	// Several versions may arrive at once; only the newest is used.
 	const StoredRow *newest = nullptr;
 	for (const StoredRow &row : rows) {
 		if (!IsConfigurationKey(row.key) || row.deleted) continue;
@@ -167,16 +169,16 @@
 	if (!this->routes.Apply(std::move(configuration))) {
 		return Log(LogLevel::Info, "configuration-older", {{"in_force", std::to_string(before)}, {"seen", std::to_string(version)}});
 	}
-	const ServingConfiguration &now_in_force = this->routes.Configuration();
-	this->front.limits.max_head_bytes = now_in_force.limits.max_head_bytes;
-	this->front.limits.max_body_bytes = now_in_force.limits.max_body_bytes;
-	this->front.limits.head_timeout = now_in_force.limits.head_timeout;
-	this->front.limits.idle_timeout = now_in_force.limits.idle_timeout;
+	const ServingConfiguration &active = this->routes.Configuration();
+	this->front.limits.max_head_bytes = active.limits.max_head_bytes;
+	this->front.limits.max_body_bytes = active.limits.max_body_bytes;
+	this->front.limits.head_timeout = active.limits.head_timeout;
+	this->front.limits.idle_timeout = active.limits.idle_timeout;
 	Log(LogLevel::Info, "configuration",
 	    {{"version", std::to_string(version)},
 	     {"before", std::to_string(before)},
-	     {"routes", std::to_string(now_in_force.routes.size())},
-	     {"accounts", std::to_string(now_in_force.accounts.size())}});
+	     {"routes", std::to_string(active.routes.size())},
+	     {"accounts", std::to_string(active.accounts.size())}});
 	this->RefreshTargets();
 	this->RefreshHalls(MonotonicNow());
 }
--- a/src/net/http_front.cpp
+++ b/src/net/http_front.cpp
@@ -1,63 +1,63 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_front.cpp HTTP/1.1 server that goes on reading while a request is worked on. */
+/** @file http_front.cpp HTTP/1.1 server that keeps reading while a request is processed. */
 
 #include "net/http_front.h"
 #include <strings.h>
 
 namespace cottonspool {
 
-static constexpr size_t MAX_PIPELINED_BYTES = 256U << 10; ///< Bytes read ahead of an answer, beyond which the caller has to wait.
+static constexpr size_t MAX_PIPELINED_BYTES = 256U << 10; ///< Limit on bytes read behind the current request.
 
-/** One connection of a caller. */
+/** A connection of a caller. */
 class FrontConnection : public std::enable_shared_from_this<FrontConnection> {
 public:
 	FrontConnection(HttpFront &front, std::shared_ptr<TcpStream> stream);
 
-	/** Begin to read. */
+	/** Install the callbacks of the connection. */
 	void Begin();
 
-	/** Look whether the caller has taken too long. */
+	/** Check the timeouts. */
 	void OnTick(TimePoint now);
 
-	/** @return Whether it rests between two requests. */
+	/** @return Whether there is no request at present. */
 	bool IsIdle() const { return !this->exchange && !this->reader.IsInsideMessage(); }
 
-	/** Close it, and tell the request under way that the caller is gone if \a tell. */
-	void Close(bool tell);
+	/** Close the connection. @param notify Call on_disconnect of the current request. */
+	void Close(bool notify);
 
-	/** The answer under way is whole. */
+	/** Handle the end of the current answer. */
 	void OnAnswered(bool keep_alive);
 
-	/** Close it so that the caller sees that the answer is not whole. */
+	/** Reset the connection, so that the caller does not take the answer for complete. */
 	void Break();
 
-	HttpFront &front;                                            ///< Server.
-	std::shared_ptr<TcpStream> stream;                           ///< Connection.
-	std::list<std::shared_ptr<FrontConnection>>::iterator place; ///< Place in the server's list.
+	HttpFront &front;                                                    ///< Server.
+	std::shared_ptr<TcpStream> stream;                                   ///< TCP connection.
+	std::list<std::shared_ptr<FrontConnection>>::iterator list_position; ///< Position in the server's list.
 
 private:
 	void OnData(std::string_view bytes);
 	void OnHead(HttpHead &&head);
 	void OnBody(std::string_view bytes);
 	void OnComplete();
-	void ReadOn();
+	void ReadPipelined();
 	void Refuse(int status);
 	void RefuseMalformed();
-	void Forget();
-
-	HttpReader reader{HttpReader::Kind::Requests}; ///< Reads requests.
-	std::shared_ptr<FrontExchange> exchange;       ///< Request being read or worked on.
-	bool handed_over = false;                      ///< The handler has it.
-	bool in_reader = false;                        ///< The reader is at work.
-	TimePoint since;                               ///< Begin of the present wait.
-	bool forgotten = false;                        ///< Out of the server's list.
-	bool refused = false;                          ///< Nothing more is read.
+	void Unregister();
+
+	HttpReader reader{HttpReader::Kind::Requests}; ///< Parser of the requests.
+	std::shared_ptr<FrontExchange> exchange;       ///< Request being received or processed.
+	bool in_handler = false;                       ///< The request was passed to the handler.
+	bool in_reader = false;                        ///< The parser is running, so that it must not be resumed.
+	TimePoint waiting_since;                       ///< Start of the time to which the current timeout applies.
+	bool unregistered = false;                     ///< Removed from the server's list.
+	bool refused = false;                          ///< Further input is ignored.
 };
 
 FrontConnection::FrontConnection(HttpFront &front, std::shared_ptr<TcpStream> stream) : front(front), stream(std::move(stream))
 {
-	this->since = MonotonicNow();
+	this->waiting_since = MonotonicNow();
 	this->reader.max_head_bytes = front.limits.max_head_bytes;
 	this->reader.on_head = [this](HttpHead &&head) { this->OnHead(std::move(head)); };
 	this->reader.on_body = [this](std::string_view bytes) { this->OnBody(bytes); };
@@ -82,22 +82,22 @@
 void FrontConnection::OnData(std::string_view bytes)
 {
 	if (this->refused) return;
-	auto keep = this->shared_from_this();
-	if (this->IsIdle()) this->since = MonotonicNow();
+	auto self_reference = this->shared_from_this();
+	if (this->IsIdle()) this->waiting_since = MonotonicNow();
 	this->reader.max_head_bytes = this->front.limits.max_head_bytes;
 	this->in_reader = true;
 	bool readable = this->reader.Add(bytes);
 	this->in_reader = false;
 	if (!readable) this->RefuseMalformed();
-	this->ReadOn();
-	if (this->handed_over && this->reader.Kept() > MAX_PIPELINED_BYTES) this->stream->SetReading(false);
+	this->ReadPipelined();
+	if (this->in_handler && this->reader.BufferedBytes() > MAX_PIPELINED_BYTES) this->stream->SetReading(false);
 }
 
-void FrontConnection::ReadOn()
+void FrontConnection::ReadPipelined()
 {
 	if (this->in_reader) return;
-	// A loop rather than a call from each answer: many small requests sent at once must not deepen the stack.
-	while (!this->refused && !this->handed_over && this->reader.IsPaused()) {
+	// A loop instead of recursion, as many small pipelined requests would overflow the stack.
+	while (!this->refused && !this->in_handler && this->reader.IsPaused()) {
 		this->in_reader = true;
 		bool readable = this->reader.Resume();
 		this->in_reader = false;
@@ -111,7 +111,7 @@
 	this->exchange->connection = this;
 	this->exchange->keep_alive = head.keep_alive;
 	this->exchange->head = std::move(head);
-	this->since = MonotonicNow();
+	this->waiting_since = MonotonicNow();
 	if (this->exchange->head.length.value_or(0) > this->front.limits.max_body_bytes) return this->Refuse(413);
 	std::string_view expect = FindHeader(this->exchange->head.headers, "expect");
 	if (strncasecmp(expect.data(), "100-continue", expect.size()) == 0 && !expect.empty()) {
@@ -122,7 +122,7 @@
 void FrontConnection::OnBody(std::string_view bytes)
 {
 	if (this->refused || !this->exchange) return;
-	this->since = MonotonicNow();
+	this->waiting_since = MonotonicNow();
 	if (this->exchange->body.size() + bytes.size() > this->front.limits.max_body_bytes) return this->Refuse(413);
 	this->exchange->body.append(bytes);
 }
@@ -131,7 +131,7 @@
 {
 	if (this->refused || !this->exchange) return;
 	this->exchange->read_at = MonotonicNow();
-	this->handed_over = true;
+	this->in_handler = true;
 	this->front.handler(this->exchange);
 }
 
@@ -145,13 +145,13 @@
 	this->exchange.reset();
 	this->stream->Write(std::move(text));
 	this->stream->CloseAfterWrites();
-	this->Forget();
+	this->Unregister();
 }
 
 void FrontConnection::RefuseMalformed()
 {
-	// Bytes that came behind a request under way belong to a later one: the answer under way is not spoilt by them.
-	if (this->handed_over) {
+	// The malformed bytes belong to a later request; the current one is still answered.
+	if (this->in_handler) {
 		this->refused = true;
 		if (this->exchange) this->exchange->keep_alive = false;
 		return;
@@ -161,60 +161,60 @@
 
 void FrontConnection::OnTick(TimePoint now)
 {
-	if (this->handed_over || this->refused) return;
-	Duration waited = now - this->since;
+	if (this->in_handler || this->refused) return;
+	Duration waited = now - this->waiting_since;
 	const FrontLimits &limits = this->front.limits;
 	if (this->IsIdle()) {
 		if (waited > limits.idle_timeout) this->Close(false);
 		return;
 	}
-	Duration most = this->exchange ? limits.body_timeout : limits.head_timeout;
-	if (waited > most) this->Refuse(408);
+	Duration timeout = this->exchange ? limits.body_timeout : limits.head_timeout;
+	if (waited > timeout) this->Refuse(408);
 }
 
 void FrontConnection::OnAnswered(bool keep_alive)
 {
-	auto keep = this->shared_from_this();
+	auto self_reference = this->shared_from_this();
 	this->exchange->connection = nullptr;
 	this->exchange.reset();
-	this->handed_over = false;
-	this->since = MonotonicNow();
+	this->in_handler = false;
+	this->waiting_since = MonotonicNow();
 	if (!keep_alive || this->refused) {
 		this->refused = true;
 		this->stream->CloseAfterWrites();
-		return this->Forget();
+		return this->Unregister();
 	}
 	this->stream->SetReading(true);
-	this->ReadOn();
+	this->ReadPipelined();
 }
 
 void FrontConnection::Break()
 {
-	auto keep = this->shared_from_this();
+	auto self_reference = this->shared_from_this();
 	this->exchange->connection = nullptr;
 	this->exchange.reset();
 	this->refused = true;
 	this->stream->Abort();
-	this->Forget();
+	this->Unregister();
 }
 
-void FrontConnection::Close(bool tell)
+void FrontConnection::Close(bool notify)
 {
-	auto keep = this->shared_from_this();
-	std::shared_ptr<FrontExchange> left = std::move(this->exchange);
+	auto self_reference = this->shared_from_this();
+	std::shared_ptr<FrontExchange> interrupted = std::move(this->exchange);
 	this->refused = true;
 	this->stream->Close();
-	this->Forget();
-	if (!left) return;
-	left->connection = nullptr;
-	if (tell && this->handed_over && left->on_gone) left->on_gone();
+	this->Unregister();
+	if (!interrupted) return;
+	interrupted->connection = nullptr;
+	if (notify && this->in_handler && interrupted->on_disconnect) interrupted->on_disconnect();
 }
 
-void FrontConnection::Forget()
+void FrontConnection::Unregister()
 {
-	if (this->forgotten) return;
-	this->forgotten = true;
-	this->front.connections.erase(this->place);
+	if (this->unregistered) return;
+	this->unregistered = true;
+	this->front.connections.erase(this->list_position);
 }
 
 void FrontExchange::SendHead(int status, const HttpHeaders &headers, std::optional<uint64_t> length, std::string_view reason,
@@ -294,7 +294,7 @@
 {
 	auto connection = std::make_shared<FrontConnection>(*this, std::move(stream));
 	this->connections.push_back(connection);
-	connection->place = std::prev(this->connections.end());
+	connection->list_position = std::prev(this->connections.end());
 	connection->Begin();
 }
 
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file http_message.cpp Reading and writing HTTP/1.1 messages. */
+/** @file http_message.cpp Parses and formats HTTP/1.1 messages. */
 
 #include "net/http_message.h"
 #include <algorithm>
@@ -10,12 +10,12 @@
 
 namespace cottonspool {
 
-/** http-parser's state with the head being collected. */
+/** State of http-parser and the head being received. */
 struct HttpReader::Parser {
-	http_parser state{};              ///< http-parser's state.
+	http_parser state{};              ///< The parser.
 	http_parser_settings callbacks{}; ///< Its callbacks.
-	HttpHead head;                    ///< Head being collected.
-	bool in_value = false;            ///< The last piece was of a field's value.
+	HttpHead head;                    ///< Head received so far.
+	bool in_value = false;            ///< The last piece belonged to the value of a field, not to a name.
 
 	static HttpReader *Of(http_parser *parser) { return static_cast<HttpReader *>(parser->data); }
 	void AddName(std::string_view piece);
@@ -39,7 +39,7 @@
 	return false;
 }
 
-/** @return Whether \a header is spelt so that every other reader takes it for the same field. */
+/** @return Whether \a header has a valid name and value; others may be interpreted differently by other software. */
 static bool IsUnambiguous(const HttpHeader &header)
 {
 	static constexpr std::string_view MARKS = "!#$%&'*+-.^_`|~";
@@ -63,7 +63,7 @@
 	if ((parser->flags & F_CONTENTLENGTH) != 0) head.length = parser->content_length;
 	if (parser->type == HTTP_REQUEST) head.method = http_method_str(static_cast<http_method>(parser->method));
 	reader->head_bytes = 0;
-	// An upgrade is never agreed to: the message is read as if it had not been asked for.
+	// Upgrades are not supported: ignore a request for one.
 	parser->upgrade = 0;
 	if (reader->on_head) reader->on_head(std::move(head));
 	head = HttpHead{};
@@ -123,13 +123,13 @@
 
 HttpReader::~HttpReader() = default;
 
-bool HttpReader::Run(std::string_view bytes)
+bool HttpReader::Parse(std::string_view bytes)
 {
 	size_t used = http_parser_execute(&this->parser->state, &this->parser->callbacks, bytes.data(), bytes.size());
 	auto code = static_cast<http_errno>(this->parser->state.http_errno);
 	if (code == HPE_PAUSED) {
-		// The parser stops on the last byte of a message without counting it when it is paused from that callback.
-		this->kept.append(bytes.substr(std::min(bytes.size(), used)));
+		// The message is complete; buffer the bytes behind it.
+		this->buffered.append(bytes.substr(std::min(bytes.size(), used)));
 		if (this->on_complete) this->on_complete();
 		return true;
 	}
@@ -144,13 +144,13 @@
 {
 	if (this->error != HttpReadError::None) return false;
 	if (this->paused) {
-		this->kept.append(bytes);
+		this->buffered.append(bytes);
 		return true;
 	}
-	return this->Run(bytes);
+	return this->Parse(bytes);
 }
 
-void HttpReader::AddEnd()
+void HttpReader::AddEof()
 {
 	if (this->paused || this->error != HttpReadError::None) return;
 	http_parser_execute(&this->parser->state, &this->parser->callbacks, nullptr, 0);
@@ -163,9 +163,9 @@
 	if (!this->paused) return true;
 	this->paused = false;
 	http_parser_pause(&this->parser->state, 0);
-	std::string bytes = std::move(this->kept);
-	this->kept.clear();
-	return bytes.empty() || this->Run(bytes);
+	std::string bytes = std::move(this->buffered);
+	this->buffered.clear();
+	return bytes.empty() || this->Parse(bytes);
 }
 
 const char *ReasonPhrase(int status)
@@ -201,8 +201,8 @@
 	});
 }
 
-/** @return Whether the comma-separated \a list holds \a name. */
-static bool ListHolds(std::string_view list, std::string_view name)
+/** @return Whether the comma-separated \a list contains \a name. */
+static bool ListContains(std::string_view list, std::string_view name)
 {
 	while (!list.empty()) {
 		size_t comma = std::min(list.find(','), list.size());
@@ -220,7 +220,7 @@
 	std::string_view named = FindHeader(headers, "connection");
 	HttpHeaders kept;
 	for (const HttpHeader &header : headers) {
-		if (!IsConnectionField(header.name) && !ListHolds(named, header.name)) kept.push_back(header);
+		if (!IsConnectionField(header.name) && !ListContains(named, header.name)) kept.push_back(header);
 	}
 	return kept;
 }
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file tcp_stream.cpp One TCP connection on the libuv loop. */
+/** @file tcp_stream.cpp TCP connections and listeners on a libuv event loop. */
 
 #include "net/tcp_stream.h"
 #include <charconv>
@@ -11,12 +11,12 @@
 
 namespace cottonspool {
 
-static constexpr size_t READ_BUFFER = 64U << 10;          ///< Bytes read at once.
-static constexpr int LISTEN_BACKLOG = 1024;               ///< Connections that may wait to be accepted.
-static constexpr unsigned int UNANSWERED_BYTES_MS = 4000; ///< Time without an acknowledgement after which a connection is dead.
-static constexpr unsigned int KEEPALIVE_IDLE_S = 3;       ///< Silence after which the other side is probed; finds paths cut without notice.
-static constexpr int KEEPALIVE_INTERVAL_S = 1;            ///< Time between such probes.
-static constexpr int KEEPALIVE_PROBES = 3;                ///< Unanswered probes after which a connection is dead.
+static constexpr size_t READ_BUFFER = 64U << 10;      ///< Size of the read buffer.
+static constexpr int LISTEN_BACKLOG = 1024;           ///< Connections that the kernel queues until they are accepted.
+static constexpr unsigned int USER_TIMEOUT_MS = 4000; ///< Time after which unacknowledged bytes make a connection fail (TCP_USER_TIMEOUT).
+static constexpr unsigned int KEEPALIVE_IDLE_S = 3;   ///< Idle time before the first TCP keepalive probe.
+static constexpr int KEEPALIVE_INTERVAL_S = 1;        ///< Interval of TCP keepalive probes.
+static constexpr int KEEPALIVE_PROBES = 3;            ///< Unanswered keepalive probes after which a connection fails.
 
 Result<Endpoint> ParseEndpoint(std::string_view text)
 {
@@ -24,23 +24,23 @@
 	unsigned int port = 0;
 	std::string_view digits = colon == std::string_view::npos ? std::string_view() : text.substr(colon + 1);
 	auto parsed = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-	bool whole = !digits.empty() && parsed.ec == std::errc() && parsed.ptr == digits.data() + digits.size();
-	if (!whole || colon == 0 || port > UINT16_MAX) return Error{Step::Settings, std::string(text), "an address has the form IP:PORT"};
+	bool valid = !digits.empty() && parsed.ec == std::errc() && parsed.ptr == digits.data() + digits.size();
+	if (!valid || colon == 0 || port > UINT16_MAX) return Error{Step::Settings, std::string(text), "an address has the form IP:PORT"};
 	return Endpoint{std::string(text.substr(0, colon)), static_cast<uint16_t>(port)};
 }
 
-/** libuv's handle with what keeps the stream alive. */
+/** libuv's handle, which owns the stream until the handle is closed. */
 struct TcpStream::Handle {
 	uv_tcp_t tcp{};                  ///< The handle itself.
-	uv_connect_t connect{};          ///< Request of an outgoing connection.
-	uv_shutdown_t shutdown{};        ///< Request of an orderly close.
-	std::shared_ptr<TcpStream> self; ///< Keeps the stream alive while libuv knows the handle.
+	uv_connect_t connect{};          ///< libuv's request to connect.
+	uv_shutdown_t shutdown{};        ///< libuv's request to shut down.
+	std::shared_ptr<TcpStream> self; ///< Keeps the stream alive.
 };
 
-/** One write that libuv has queued. */
+/** A write in libuv's queue. */
 struct QueuedWrite {
 	uv_write_t request{}; ///< libuv's request.
-	std::string bytes;    ///< Bytes to be written.
+	std::string bytes;    ///< Bytes to write.
 };
 
 TcpStream::TcpStream() : handle(new Handle)
@@ -70,18 +70,18 @@
 	if (failed == 0) {
 		failed = uv_tcp_connect(&stream->handle->connect, &stream->handle->tcp, reinterpret_cast<const sockaddr *>(&address), connected);
 	}
-	// A failure of the call itself is told like any other, from the loop, once the owner has set its functions.
+	// Report an immediate failure from the event loop too, as the owner installs its callbacks only after this function.
 	if (failed != 0) {
 		auto *timer = new uv_timer_t;
 		uv_timer_init(loop, timer);
 		timer->data = new std::pair<std::weak_ptr<TcpStream>, int>(stream, failed);
-		auto fire = [](uv_timer_t *t) {
-			auto *what = static_cast<std::pair<std::weak_ptr<TcpStream>, int> *>(t->data);
-			if (auto self = what->first.lock(); self && !self->closed) self->End(TcpEnd::Failed, uv_strerror(what->second));
-			delete what;
+		auto report_failure = [](uv_timer_t *t) {
+			auto *failure = static_cast<std::pair<std::weak_ptr<TcpStream>, int> *>(t->data);
+			if (auto self = failure->first.lock(); self && !self->closed) self->End(TcpEnd::Failed, uv_strerror(failure->second));
+			delete failure;
 			uv_close(reinterpret_cast<uv_handle_t *>(t), [](uv_handle_t *h) { delete reinterpret_cast<uv_timer_t *>(h); });
 		};
-		uv_timer_start(timer, fire, 0, 0);
+		uv_timer_start(timer, report_failure, 0, 0);
 	}
 	return stream;
 }
@@ -108,7 +108,7 @@
 	uv_tcp_keepalive(&this->handle->tcp, 1, KEEPALIVE_IDLE_S);
 	uv_os_fd_t fd = -1;
 	if (uv_fileno(reinterpret_cast<uv_handle_t *>(&this->handle->tcp), &fd) != 0) return;
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &UNANSWERED_BYTES_MS, sizeof(UNANSWERED_BYTES_MS));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &USER_TIMEOUT_MS, sizeof(USER_TIMEOUT_MS));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &KEEPALIVE_INTERVAL_S, sizeof(KEEPALIVE_INTERVAL_S));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &KEEPALIVE_PROBES, sizeof(KEEPALIVE_PROBES));
 }
@@ -118,7 +118,7 @@
 	if (this->closed || this->reading || !this->opened || !this->want_read) return;
 	this->reading = true;
 	auto allocate = [](uv_handle_t *, size_t, uv_buf_t *buffer) {
-		static char shared[READ_BUFFER]; // One loop, one thread: the bytes are handed on before the next read.
+		static char shared[READ_BUFFER]; // Shared by all connections: the bytes are consumed before the next read.
 		*buffer = uv_buf_init(shared, sizeof(shared));
 	};
 	auto read = [](uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer) {
@@ -129,8 +129,8 @@
 
 bool TcpStream::IsReset() const
 {
-	// libuv tells an end as soon as the kernel reports a hang-up behind a partial read, also when it was a reset. Only the
-	// socket itself knows: after an orderly close a read gives nothing, after a reset it gives an error.
+	// libuv reports EOF on a hang-up after a partial read, even if the connection was reset. The socket tells them apart: a read returns 0
+	// after an orderly close and an error after a reset.
 	uv_os_fd_t fd = -1;
 	if (uv_fileno(reinterpret_cast<const uv_handle_t *>(&this->handle->tcp), &fd) != 0) return true;
 	char byte = 0;
@@ -141,8 +141,8 @@
 void TcpStream::OnRead(long length, const char *bytes)
 {
 	if (length == 0 || this->closed) return;
-	auto keep = this->shared_from_this();
-	if (length < 0 && this->finishing) return this->SetReading(false);
+	auto self_reference = this->shared_from_this();
+	if (length < 0 && this->closing_after_writes) return this->SetReading(false);
 	if (length == UV_EOF && !this->IsReset()) return this->End(TcpEnd::Closed, "closed by the other side");
 	if (length == UV_EOF) return this->End(TcpEnd::Reset, "reset by the other side");
 	if (length < 0) return this->End(TcpEnd::Reset, uv_strerror(static_cast<int>(length)));
@@ -151,9 +151,9 @@
 
 void TcpStream::End(TcpEnd end, const char *cause)
 {
-	auto keep = this->shared_from_this();
+	auto self_reference = this->shared_from_this();
 	this->Close();
-	if (this->on_end && !this->finishing) this->on_end(end, cause);
+	if (this->on_end && !this->closing_after_writes) this->on_end(end, cause);
 }
 
 void TcpStream::Write(std::string bytes)
@@ -181,7 +181,7 @@
 void TcpStream::OnWritten(int status)
 {
 	if (this->closed) return;
-	auto keep = this->shared_from_this();
+	auto self_reference = this->shared_from_this();
 	if (status < 0) return this->End(this->opened ? TcpEnd::Reset : TcpEnd::Failed, uv_strerror(status));
 	if (this->Backlog() == 0 && this->on_drained) this->on_drained();
 }
@@ -201,7 +201,7 @@
 	return uv_stream_get_write_queue_size(reinterpret_cast<const uv_stream_t *>(&this->handle->tcp));
 }
 
-/** Free \a handle and let go of its stream; the last step of every connection. */
+/** Delete \a handle, which releases its stream. */
 static void FreeHandle(uv_handle_t *handle)
 {
 	auto *owner = reinterpret_cast<TcpStream::Handle *>(handle);
@@ -218,8 +218,8 @@
 
 void TcpStream::CloseAfterWrites()
 {
-	if (this->closed || this->finishing) return;
-	this->finishing = true;
+	if (this->closed || this->closing_after_writes) return;
+	this->closing_after_writes = true;
 	this->handle->shutdown.data = this;
 	auto done = [](uv_shutdown_t *request, int) {
 		auto *self = static_cast<TcpStream *>(request->data);
@@ -234,7 +234,8 @@
 	this->closed = true;
 	auto *handle_base = reinterpret_cast<uv_handle_t *>(&this->handle->tcp);
 	if (uv_is_closing(handle_base)) return;
-	if (!this->opened || this->finishing || uv_tcp_close_reset(&this->handle->tcp, FreeHandle) != 0) uv_close(handle_base, FreeHandle);
+	if (!this->opened || this->closing_after_writes || uv_tcp_close_reset(&this->handle->tcp, FreeHandle) != 0)
+		uv_close(handle_base, FreeHandle);
 }
 
 /** libuv's handle of a listener. */
--- a/src/tests/fake_platform.h
+++ b/src/tests/fake_platform.h
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file fake_platform.h The platform in memory, with answers that are late, lost or never sent, driven by a seed. */
+/** @file fake_platform.h In-memory platform for unit tests, with late and lost answers and calls that are not sent, chosen by a seed. */
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace cottonspool {
 
-/** A platform whose calls wait until the test lets them go on. */
+/** A platform whose calls proceed when the test runs them. */
 class FakePlatform : public Platform {
 public:
 	explicit FakePlatform(uint64_t seed) : random(seed) {}
@@ -36,22 +36,22 @@
 
 	void ScanRows(const std::string &prefix, const std::string &after, ScanDone done) override
 	{
-		this->Later([this, prefix, after, done = std::move(done)] {
-			if (this->Draw(this->not_sent) || this->down) return done(Error{Step::Table, "fake", "not sent"});
+		this->Enqueue([this, prefix, after, done = std::move(done)] {
+			if (this->Chance(this->not_sent) || this->down) return done(Error{Step::Table, "fake", "not sent"});
 			std::vector<PlatformRow> found;
 			for (auto it = this->rows.upper_bound(std::max(prefix, after)); it != this->rows.end() && found.size() < SCAN_PAGE; ++it) {
 				if (it->first.starts_with(prefix)) found.push_back(it->second);
 			}
-			this->Later([done, found] { done(found); });
+			this->Enqueue([done, found] { done(found); });
 		});
 	}
 
 	void ListInstances(ListDone done) override
 	{
-		this->Later([done = std::move(done)] { done(std::vector<ListedInstance>{}); });
+		this->Enqueue([done = std::move(done)] { done(std::vector<ListedInstance>{}); });
 	}
 
-	/** Let up to \a count waiting steps happen, in a random order. */
+	/** Run up to \a count pending steps, in random order. */
 	void Run(size_t count)
 	{
 		for (size_t i = 0; i < count && !this->waiting.empty(); i++) {
@@ -62,33 +62,33 @@
 		}
 	}
 
-	/** Let everything happen. */
+	/** Run all steps, including those that they add. */
 	void RunAll()
 	{
 		while (!this->waiting.empty()) this->Run(1);
 	}
 
-	double lost_answers = 0;                 ///< Part of the writes whose answers are lost.
-	double not_sent = 0;                     ///< Part of the calls that are not sent.
-	double late_effects = 0;                 ///< Part of the writes that take effect after their answer was given up.
-	bool down = false;                       ///< Nothing can be reached.
-	std::map<std::string, PlatformRow> rows; ///< Table and objects.
+	double lost_answers = 0;                 ///< Fraction of writes whose answers are lost.
+	double not_sent = 0;                     ///< Fraction of calls that are not sent.
+	double late_effects = 0;                 ///< Fraction of writes that take effect after their outcome was reported as unknown.
+	bool down = false;                       ///< The platform is unreachable.
+	std::map<std::string, PlatformRow> rows; ///< Rows and objects by key.
 
 private:
-	bool Draw(double part) { return static_cast<double>(this->random() % 10000) < part * 10000; }
-	void Later(std::function<void()> step) { this->waiting.push_back(std::move(step)); }
+	bool Chance(double probability) { return static_cast<double>(this->random() % 10000) < probability * 10000; }
+	void Enqueue(std::function<void()> step) { this->waiting.push_back(std::move(step)); }
 
 	void Read(const std::string &key, ReadDone done)
 	{
-		this->Later([this, key, done = std::move(done)] {
-			if (this->Draw(this->not_sent) || this->down) return done(Error{Step::Table, "fake", "not sent"});
+		this->Enqueue([this, key, done = std::move(done)] {
+			if (this->Chance(this->not_sent) || this->down) return done(Error{Step::Table, "fake", "not sent"});
 			auto found = this->rows.find(key);
 			PlatformRow row = found == this->rows.end() ? PlatformRow{key, "", ""} : found->second;
-			this->Later([done, row] { done(row); });
+			this->Enqueue([done, row] { done(row); });
 		});
 	}
 
-	WriteOutcome Effect(const std::string &key, const std::string &value, const std::string &version)
+	WriteOutcome ApplyWrite(const std::string &key, const std::string &value, const std::string &version)
 	{
 		auto found = this->rows.find(key);
 		std::string present = found == this->rows.end() ? "" : found->second.version;
@@ -100,21 +100,21 @@
 
 	void Write(const std::string &key, const std::string &value, const std::string &version, WriteDone done)
 	{
-		this->Later([=, this, done = std::move(done)] {
-			if (this->Draw(this->not_sent) || this->down) return done({WriteResult::NotDone, ""});
-			if (this->Draw(this->late_effects)) {
-				this->Later([=, this] { this->Effect(key, value, version); });
+		this->Enqueue([=, this, done = std::move(done)] {
+			if (this->Chance(this->not_sent) || this->down) return done({WriteResult::NotDone, ""});
+			if (this->Chance(this->late_effects)) {
+				this->Enqueue([=, this] { this->ApplyWrite(key, value, version); });
 				return done({WriteResult::Unknown, ""});
 			}
-			WriteOutcome outcome = this->Effect(key, value, version);
-			if (this->Draw(this->lost_answers)) outcome = {WriteResult::Unknown, ""};
-			this->Later([done, outcome] { done(outcome); });
+			WriteOutcome outcome = this->ApplyWrite(key, value, version);
+			if (this->Chance(this->lost_answers)) outcome = {WriteResult::Unknown, ""};
+			this->Enqueue([done, outcome] { done(outcome); });
 		});
 	}
 
-	pcg64 random;                              ///< Chance.
-	std::deque<std::function<void()>> waiting; ///< Steps not yet happened.
-	uint64_t versions = 0;                     ///< Versions given out.
+	pcg64 random;                              ///< Random generator.
+	std::deque<std::function<void()>> waiting; ///< Pending steps.
+	uint64_t versions = 0;                     ///< Number of versions issued.
 };
 
 } // namespace cottonspool
--- a/src/tests/membership_test.cpp
+++ b/src/tests/membership_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file membership_test.cpp Members, their spread, and the messages between instances. */
+/** @file membership_test.cpp Membership converges over few links and detects failures, and peer messages survive encoding. */
 
 #include "decision/membership.h"
 #include "peer/peer_message.h"
@@ -10,15 +10,15 @@
 using namespace cottonspool;
 using std::chrono::milliseconds;
 
-TEST_CASE("Membership - older news never replaces newer, and a new start replaces both")
+TEST_CASE("Membership - outdated information never replaces newer information, and a new incarnation replaces both")
 {
-	bool good = rc::check("news", [](const std::vector<std::pair<uint8_t, uint8_t>> &news) {
+	bool good = rc::check("outdated information", [](const std::vector<std::pair<uint8_t, uint8_t>> &updates) {
 		Membership members({"self", "hall", "a"}, milliseconds(1000));
 		std::pair<uint64_t, uint64_t> newest{0, 0};
 		TimePoint now(std::chrono::seconds(5));
-		for (const auto &[incarnation, counter] : news) {
+		for (const auto &[incarnation, counter] : updates) {
 			MemberInfo info{"other", "hall", "b", incarnation % 4U, counter};
-			members.OnHeard(info, now);
+			members.OnMemberInfo(info, now);
 			newest = std::max(newest, {info.incarnation, info.counter});
 		}
 		for (const MemberInfo &member : members.Live(now)) {
@@ -28,7 +28,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Membership - in a system of 370 everyone learns of its whole hall through a few links each, keeps it, and notices a loss")
+TEST_CASE("Membership - each of 370 instances learns all members of its hall over few links, and detects a failure")
 {
 	constexpr size_t count = 370;
 	constexpr auto period = std::chrono::seconds(4);
@@ -38,65 +38,65 @@
 		std::string name = "instance" + std::to_string(i);
 		all.emplace_back(MemberInfo{name, "hall" + std::to_string(i % 9), name}, std::chrono::seconds(4));
 	}
-	// Every instance begins with one seed of its own hall, the first of each hall with one of another.
-	for (size_t i = 0; i < count; i++) all[i].OnHeard(all[i < 9 ? i / 2 : i / 18 * 9 + i % 9].self, now);
-	size_t most_links = 0;
-	size_t dead = SIZE_MAX;
+	// Initially each instance knows one member of its hall, and the first instance of each hall one of another hall.
+	for (size_t i = 0; i < count; i++) all[i].OnMemberInfo(all[i < 9 ? i / 2 : i / 18 * 9 + i % 9].self, now);
+	size_t max_links = 0;
+	size_t stopped = SIZE_MAX;
 	auto round = [&] {
 		now += period;
 		for (size_t i = 0; i < count; i++) {
-			if (i == dead) continue;
+			if (i == stopped) continue;
 			all[i].self.counter++;
-			std::vector<MemberInfo> news = all[i].NextNews(6);
-			std::vector<MemberInfo> links = all[i].LinkTargets(now);
-			all[i].SetPace(period, links.size(), 6);
-			most_links = std::max(most_links, links.size());
+			std::vector<MemberInfo> updates = all[i].NextGossip(6);
+			std::vector<MemberInfo> links = all[i].GossipPeers(now);
+			all[i].SetGossipPace(period, links.size(), 6);
+			max_links = std::max(max_links, links.size());
 			for (const MemberInfo &link : links) {
 				Membership &peer = all[std::stoul(link.name.substr(8))];
-				for (const MemberInfo &member : news) peer.OnHeard(member, now);
+				for (const MemberInfo &member : updates) peer.OnMemberInfo(member, now);
 			}
 		}
 	};
-	// Whether every instance's share counts exactly the live instances of its hall.
-	auto known = [&] {
+	// Whether every instance counts exactly the live instances of its hall.
+	auto converged = [&] {
 		for (size_t i = 0; i < count; i++) {
-			size_t wanted = count / 9 + (i % 9 < count % 9 ? 1 : 0) - (dead != SIZE_MAX && dead % 9 == i % 9 ? 1 : 0);
-			if (i != dead && all[i].Rank(now).second != wanted) return false;
+			size_t wanted = count / 9 + (i % 9 < count % 9 ? 1 : 0) - (stopped != SIZE_MAX && stopped % 9 == i % 9 ? 1 : 0);
+			if (i != stopped && all[i].Rank(now).second != wanted) return false;
 		}
 		return true;
 	};
 	size_t rounds = 0;
-	while (!known() && rounds < 100) {
+	while (!converged() && rounds < 100) {
 		round();
 		rounds++;
 	}
 	CHECK(rounds <= 60);
-	bool kept = true;
+	bool stays_converged = true;
 	for (int i = 0; i < 40; i++) {
 		round();
-		kept = kept && known();
+		stays_converged = stays_converged && converged();
 	}
-	CHECK(kept); // Nobody who is there is taken for gone.
-	dead = 7;
-	for (rounds = 0; !known() && rounds < 100; rounds++) round();
+	CHECK(stays_converged); // No live member is considered failed.
+	stopped = 7;
+	for (rounds = 0; !converged() && rounds < 100; rounds++) round();
 	CHECK(rounds <= 60);
-	CHECK(most_links <= 6 + 8);
+	CHECK(max_links <= 6 + 8);
 	MESSAGE("rounds until a loss is known to all: " << rounds);
 }
 
-TEST_CASE("Membership - a stopping instance no longer counts for shares")
+TEST_CASE("Membership - a stopping instance does not count for shares")
 {
 	Membership members({"b", "hall", "a"}, milliseconds(1000));
 	TimePoint now(std::chrono::seconds(5));
-	members.OnHeard({"a", "hall", "x", 1, 1}, now);
-	members.OnHeard({"c", "hall", "y", 1, 1}, now);
+	members.OnMemberInfo({"a", "hall", "x", 1, 1}, now);
+	members.OnMemberInfo({"c", "hall", "y", 1, 1}, now);
 	CHECK((members.Rank(now) == std::pair<uint32_t, uint32_t>{1, 3}));
-	members.OnHeard({"a", "hall", "x", 1, 2, 0, true}, now);
+	members.OnMemberInfo({"a", "hall", "x", 1, 2, 0, true}, now);
 	CHECK((members.Rank(now) == std::pair<uint32_t, uint32_t>{0, 2}));
 	CHECK((members.Rank(now + milliseconds(1500)) == std::pair<uint32_t, uint32_t>{0, 1}));
 }
 
-TEST_CASE("Peer messages - come back as they were, and any bytes are an error at worst")
+TEST_CASE("Peer messages - survive encoding, and arbitrary bytes cause at most an error")
 {
 	HeartbeatMessage heartbeat{{{"a", "hall", "1.2.3.4:5", 7, 8, 9, true}}, {{"engine", "start"}}, milliseconds(12), {{"b", 3}}};
 	auto decoded = DecodePeerMessage(EncodePeerMessage(heartbeat));
@@ -104,7 +104,7 @@
 	const auto &back = std::get<HeartbeatMessage>(decoded.value());
 	CHECK(back.members.at(0).sequence == 9);
 	CHECK(back.members.at(0).stopping);
-	CHECK(back.leaving == heartbeat.leaving);
+	CHECK(back.draining == heartbeat.draining);
 	CHECK(back.confirmed_age == Duration(milliseconds(12)));
 	CHECK(back.echoes == heartbeat.echoes);
 	auto entries = DecodePeerMessage(EncodePeerMessage(EntriesMessage{{"x", "y"}}));
--- a/src/tests/quarantine_test.cpp
+++ b/src/tests/quarantine_test.cpp
@@ -1,59 +1,59 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file quarantine_test.cpp Requests under which targets end: what makes two of them the same one. */
+/** @file quarantine_test.cpp Requests that crash targets are recognised and quarantined after few crashes, innocent ones are not. */
 
 #include "decision/dispatcher.h"
-#include "decision/request_print.h"
-#include "gateway/end_records.h"
-#include "tests/hand_store.h"
-#include "tests/quarantine_world.h"
+#include "decision/request_fingerprint.h"
+#include "gateway/crash_records.h"
+#include "tests/manual_store.h"
+#include "tests/quarantine_simulation.h"
 #include <doctest/doctest.h>
 #include <random>
 #include <rapidcheck.h>
 
 using namespace cottonspool;
 
-TEST_CASE("Quarantine - a request that comes again has the same fingerprint, another one has not")
+TEST_CASE("Quarantine - a repeated request has the same fingerprint, a different one does not")
 {
 	RequestIdentity identity{"POST", "h.example", "/s/x?y=1", "acme", "body"};
-	RequestPrint print = PrintRequest(identity);
-	CHECK(PrintRequest(identity) == print);
-	CHECK(PrintRequest({"GET", "h.example", "/s/x?y=1", "acme", "body"}) != print);
-	CHECK(PrintRequest({"POST", "g.example", "/s/x?y=1", "acme", "body"}) != print);
-	CHECK(PrintRequest({"POST", "h.example", "/s/x?y=2", "acme", "body"}) != print);
-	CHECK(PrintRequest({"POST", "h.example", "/s/x?y=1", "other", "body"}) != print);
-	CHECK(PrintRequest({"POST", "h.example", "/s/x?y=1", "acme", "body."}) != print);
-	// What moves from one part to the next makes another request.
-	CHECK(PrintRequest({"POST", "h.example", "/s/x?y=1", "acm", "ebody"}) != print);
+	RequestFingerprint fingerprint = ComputeFingerprint(identity);
+	CHECK(ComputeFingerprint(identity) == fingerprint);
+	CHECK(ComputeFingerprint({"GET", "h.example", "/s/x?y=1", "acme", "body"}) != fingerprint);
+	CHECK(ComputeFingerprint({"POST", "g.example", "/s/x?y=1", "acme", "body"}) != fingerprint);
+	CHECK(ComputeFingerprint({"POST", "h.example", "/s/x?y=2", "acme", "body"}) != fingerprint);
+	CHECK(ComputeFingerprint({"POST", "h.example", "/s/x?y=1", "other", "body"}) != fingerprint);
+	CHECK(ComputeFingerprint({"POST", "h.example", "/s/x?y=1", "acme", "body."}) != fingerprint);
+	// Moving bytes from one field to the next gives a different request.
+	CHECK(ComputeFingerprint({"POST", "h.example", "/s/x?y=1", "acm", "ebody"}) != fingerprint);
 }
 
-TEST_CASE("Quarantine - fingerprints survive being written down, and nothing else is read as one")
+TEST_CASE("Quarantine - fingerprints survive formatting and parsing, and invalid text is rejected")
 {
 	CHECK(rc::check([](uint64_t value) {
-		RequestPrint print{value == 0 ? 1 : value};
-		RC_ASSERT(ParsePrint(PrintText(print)) == print);
+		RequestFingerprint fingerprint{value == 0 ? 1 : value};
+		RC_ASSERT(ParseFingerprint(FormatFingerprint(fingerprint)) == fingerprint);
 	}));
 	for (const char *text : {"", "0000000000000000", "123", "00000000000000g1", "+000000000000001", "00000000000000001"}) {
 		CAPTURE(text);
-		CHECK_FALSE(ParsePrint(text).has_value());
+		CHECK_FALSE(ParseFingerprint(text).has_value());
 	}
 }
 
-/** @return Sums over \a days days of \a layout. */
-static QuarantineDay PlayDays(const QuarantineLayout &layout, uint64_t days)
+/** @return Sum of the results of \a runs simulations of \a layout. */
+static QuarantineResult SimulateRuns(const QuarantineLayout &layout, uint64_t runs)
 {
-	QuarantineDay sum;
-	for (uint64_t seed = 1; seed <= days; seed++) {
-		QuarantineDay day = PlayQuarantineDay(layout, seed);
-		sum.ended += day.ended;
-		sum.sent_late += day.sent_late;
-		sum.innocents_ended += day.innocents_ended;
-		sum.innocents_refused += day.innocents_refused;
+	QuarantineResult sum;
+	for (uint64_t seed = 1; seed <= runs; seed++) {
+		QuarantineResult result = SimulateQuarantine(layout, seed);
+		sum.crashed += result.crashed;
+		sum.sent_late += result.sent_late;
+		sum.innocents_lost += result.innocents_lost;
+		sum.innocents_rejected += result.innocents_rejected;
 	}
 	return sum;
 }
 
-TEST_CASE("Quarantine - a request that ends targets reaches few, whoever sees them end, also while targets and instances end by themselves")
+TEST_CASE("Quarantine - a request that crashes targets reaches only few, also while targets and instances crash by themselves")
 {
 	CHECK(rc::check([] {
 		QuarantineLayout layout;
@@ -61,31 +61,31 @@
 		layout.targets = *rc::gen::element<size_t>(9, 30, 60);
 		layout.crashes_per_s = *rc::gen::element(0.0, 0.2, 1.0);
 		layout.restarts_per_s = *rc::gen::element(0.0, 0.1, 0.5);
-		QuarantineDay day = PlayQuarantineDay(layout, *rc::gen::inRange<uint64_t>(0, 1000000));
-		RC_ASSERT(day.sent_late <= 3U);
-		RC_ASSERT(day.innocents_refused == 0U);
+		QuarantineResult result = SimulateQuarantine(layout, *rc::gen::inRange<uint64_t>(0, 1000000));
+		RC_ASSERT(result.sent_late <= 3U);
+		RC_ASSERT(result.innocents_rejected == 0U);
 	}));
 }
 
-TEST_CASE("Quarantine - without it the same request ends a target each time that it comes")
+TEST_CASE("Quarantine - without it the same request crashes a target each time it is sent")
 {
 	QuarantineLayout layout;
-	layout.limits.ends = UINT32_MAX;
-	layout.limits.likely_ends = UINT32_MAX;
-	CHECK(PlayDays(layout, 5).sent_late > 100);
+	layout.limits.crash_threshold = UINT32_MAX;
+	layout.limits.holdback_crashes = UINT32_MAX;
+	CHECK(SimulateRuns(layout, 5).sent_late > 100);
 }
 
-/** Print what a way of judging comes to in \a days. */
-static void TellDays(const char *way, const QuarantineLayout &layout, const QuarantineDay &days)
+/** Prints \a results of one variant. */
+static void PrintResult(const char *variant, const QuarantineLayout &layout, const QuarantineResult &results)
 {
-	MESSAGE(std::string(way) << ", crashes a second " << layout.crashes_per_s << ", tries of a caller " << layout.innocent_tries
-	                         << ": targets ended under it " << days.ended << ", innocent requests ended " << days.innocents_ended
-	                         << ", refused " << days.innocents_refused);
+	MESSAGE(std::string(variant) << ", crashes per second " << layout.crashes_per_s << ", attempts per caller " << layout.innocent_tries
+	                             << ": targets crashed " << results.crashed << ", innocent requests lost " << results.innocents_lost
+	                             << ", rejected " << results.innocents_rejected);
 }
 
-TEST_CASE("Quarantine - held back from two ends on: fewer targets and fewer other requests end than when three are waited for")
+TEST_CASE("Quarantine - holding a request back after two crashes loses fewer targets and requests than waiting for three")
 {
-	static constexpr uint64_t DAYS = 40;
+	static constexpr uint64_t RUNS = 40;
 	for (double crashes : {0.0, 0.2, 1.0}) {
 		for (uint32_t tries : {2U, 5U}) {
 			QuarantineLayout layout;
@@ -93,124 +93,124 @@
 			layout.crashes_per_s = crashes;
 			layout.innocent_tries = tries;
 			QuarantineLayout three = layout;
-			three.limits.likely_ends = UINT32_MAX;
+			three.limits.holdback_crashes = UINT32_MAX;
 			QuarantineLayout for_good = layout;
-			for_good.limits.ends = 2;
-			QuarantineDay days = PlayDays(layout, DAYS);
-			QuarantineDay three_days = PlayDays(three, DAYS);
-			TellDays("two hold back", layout, days);
-			TellDays("three", three, three_days);
-			TellDays("two for good", for_good, PlayDays(for_good, DAYS));
-			CHECK(days.ended < three_days.ended);
-			CHECK(days.innocents_refused * 1000 < static_cast<size_t>(layout.innocents_per_s * 20 * DAYS));
+			for_good.limits.crash_threshold = 2;
+			QuarantineResult results = SimulateRuns(layout, RUNS);
+			QuarantineResult three_results = SimulateRuns(three, RUNS);
+			PrintResult("two hold back", layout, results);
+			PrintResult("three", three, three_results);
+			PrintResult("two for good", for_good, SimulateRuns(for_good, RUNS));
+			CHECK(results.crashed < three_results.crashed);
+			CHECK(results.innocents_rejected * 1000 < static_cast<size_t>(layout.innocents_per_s * 20 * RUNS));
 		}
 	}
 }
 
-/** What came of a request that is sent once a second by one caller after another, and ends its target with some chance. */
-struct FickleDay {
-	size_t ended = 0;   ///< Targets that ended under it.
-	size_t refused = 0; ///< Times that it was refused.
+/** Result of a request that is sent once per second and crashes its target with some probability. */
+struct PartialCrashResult {
+	size_t crashed = 0;  ///< Targets that it crashed.
+	size_t rejected = 0; ///< Number of times that it was rejected.
 };
 
-/** Play \a sends of a request that ends its target with the chance \a harm and is answered well otherwise. */
-static FickleDay PlayFickle(const QuarantineLimits &limits, double harm, int sends, uint64_t seed)
+/** Sends a request \a sends times, which crashes its target with probability \a harm and is answered successfully otherwise. */
+static PartialCrashResult SimulatePartialCrasher(const QuarantineLimits &limits, double harm, int sends, uint64_t seed)
 {
 	pcg64 random(seed);
 	Quarantine quarantine(limits);
 	TimePoint now{std::chrono::hours(1)};
-	FickleDay day;
+	PartialCrashResult result;
 	for (int i = 0; i < sends; i++, now += std::chrono::seconds(1)) {
-		if (quarantine.Judge(RequestPrint{7}, now) == Suspicion::Quarantined) {
-			day.refused++;
+		if (quarantine.Assess(RequestFingerprint{7}, now) == Suspicion::Quarantined) {
+			result.rejected++;
 			continue;
 		}
 		if (std::bernoulli_distribution(harm)(random)) {
-			quarantine.Add({RequestPrint{7}, "life-" + std::to_string(i)}, now);
-			day.ended++;
+			quarantine.Add({RequestFingerprint{7}, "incarnation-" + std::to_string(i)}, now);
+			result.crashed++;
 			continue;
 		}
-		for (const EndRecord &end : quarantine.ClearedByAnswer(RequestPrint{7})) quarantine.Remove(end);
+		for (const CrashRecord &record : quarantine.ClearedBySuccess(RequestFingerprint{7})) quarantine.Remove(record);
 	}
-	return day;
+	return result;
 }
 
-TEST_CASE("Quarantine - a request that ends some targets and is answered by others is held back too: an answer takes one end out, not all")
+TEST_CASE("Quarantine - a request that crashes only some targets is held back too, as an answer removes one crash and not all")
 {
 	static constexpr int SENDS = 120;
-	static constexpr uint64_t DAYS = 200;
+	static constexpr uint64_t RUNS = 200;
 	QuarantineLimits all;
-	all.cleared_by_answer = SIZE_MAX;
-	// The last one is innocent: targets end beside it by chance, one in a hundred of its sends.
+	all.cleared_per_success = SIZE_MAX;
+	// The last request is innocent: by chance, one percent of its sends coincide with a crash.
 	for (double harm : {0.7, 0.5, 0.3, 0.01}) {
-		FickleDay one_out, all_out;
-		for (uint64_t seed = 0; seed < DAYS; seed++) {
-			FickleDay day = PlayFickle({}, harm, SENDS, seed);
-			FickleDay other = PlayFickle(all, harm, SENDS, seed);
-			one_out = {one_out.ended + day.ended, one_out.refused + day.refused};
-			all_out = {all_out.ended + other.ended, all_out.refused + other.refused};
+		PartialCrashResult one_out, all_out;
+		for (uint64_t seed = 0; seed < RUNS; seed++) {
+			PartialCrashResult result = SimulatePartialCrasher({}, harm, SENDS, seed);
+			PartialCrashResult other = SimulatePartialCrasher(all, harm, SENDS, seed);
+			one_out = {one_out.crashed + result.crashed, one_out.rejected + result.rejected};
+			all_out = {all_out.crashed + other.crashed, all_out.rejected + other.rejected};
 		}
-		MESSAGE("ends its target in " << harm << " of " << SENDS << " sends, " << DAYS << " days: one out " << one_out.ended << " ended, "
-		                              << one_out.refused << " refused; all out " << all_out.ended << " ended, " << all_out.refused
-		                              << " refused");
-		CHECK(one_out.ended <= all_out.ended);
-		if (harm >= 0.3) CHECK(one_out.ended < all_out.ended);
-		if (harm < 0.1) CHECK(one_out.refused * 50 < DAYS * SENDS);
+		MESSAGE("crashes its target in " << harm << " of " << SENDS << " sends, " << RUNS << " runs: removing one " << one_out.crashed
+		                                 << " crashed, " << one_out.rejected << " rejected; removing all " << all_out.crashed
+		                                 << " crashed, " << all_out.rejected << " rejected");
+		CHECK(one_out.crashed <= all_out.crashed);
+		if (harm >= 0.3) CHECK(one_out.crashed < all_out.crashed);
+		if (harm < 0.1) CHECK(one_out.rejected * 50 < RUNS * SENDS);
 	}
 }
 
-TEST_CASE("Quarantine - two ends hold a request back for a while, three for good, and each end counts once")
+TEST_CASE("Quarantine - two crashes hold a request back, three quarantine it for long, and each crash counts once")
 {
 	Quarantine quarantine{QuarantineLimits{}};
-	RequestPrint print{7};
+	RequestFingerprint fingerprint{7};
 	TimePoint now{std::chrono::hours(1)};
-	CHECK(quarantine.Judge(print, now) == Suspicion::None);
-	CHECK(quarantine.Add({print, "a@1"}, now));
-	CHECK_FALSE(quarantine.Add({print, "a@1"}, now));
-	CHECK(quarantine.Judge(print, now) == Suspicion::Suspected);
-	// The same target's next life is another end.
-	CHECK(quarantine.Add({print, "a@2"}, now));
-	CHECK(quarantine.Judge(print, now) == Suspicion::Quarantined);
-	CHECK(quarantine.Judge(RequestPrint{8}, now) == Suspicion::None);
-	CHECK(quarantine.Judge(print, now + std::chrono::seconds(21)) == Suspicion::Suspected);
+	CHECK(quarantine.Assess(fingerprint, now) == Suspicion::None);
+	CHECK(quarantine.Add({fingerprint, "a@1"}, now));
+	CHECK_FALSE(quarantine.Add({fingerprint, "a@1"}, now));
+	CHECK(quarantine.Assess(fingerprint, now) == Suspicion::Suspected);
+	// A crash of the next incarnation of the same target counts separately.
+	CHECK(quarantine.Add({fingerprint, "a@2"}, now));
+	CHECK(quarantine.Assess(fingerprint, now) == Suspicion::Quarantined);
+	CHECK(quarantine.Assess(RequestFingerprint{8}, now) == Suspicion::None);
+	CHECK(quarantine.Assess(fingerprint, now + std::chrono::seconds(21)) == Suspicion::Suspected);
 	now += std::chrono::seconds(21);
-	quarantine.Add({print, "b"}, now);
-	CHECK(quarantine.Judge(print, now + std::chrono::minutes(10)) == Suspicion::Quarantined);
-	// What is no longer held against it, and what has grown old.
-	quarantine.Remove({print, "a@1"});
-	CHECK(quarantine.EndsOf(print).size() == 2);
+	quarantine.Add({fingerprint, "b"}, now);
+	CHECK(quarantine.Assess(fingerprint, now + std::chrono::minutes(10)) == Suspicion::Quarantined);
+	// Removed and expired records do not count.
+	quarantine.Remove({fingerprint, "a@1"});
+	CHECK(quarantine.CrashesOf(fingerprint).size() == 2);
 	CHECK(quarantine.Expired(now + std::chrono::minutes(29)).empty());
 	CHECK(quarantine.Expired(now + std::chrono::minutes(31)).size() == 2);
-	for (const EndRecord &end : quarantine.All()) quarantine.Remove(end);
+	for (const CrashRecord &record : quarantine.All()) quarantine.Remove(record);
 	CHECK(quarantine.IsEmpty());
-	CHECK(quarantine.Judge(print, now) == Suspicion::None);
+	CHECK(quarantine.Assess(fingerprint, now) == Suspicion::None);
 }
 
-TEST_CASE("Quarantine - a request without a fingerprint is never held against, and no more ends are remembered than may be")
+TEST_CASE("Quarantine - a request without a fingerprint is never suspected, and the number of records is bounded")
 {
 	QuarantineLimits limits;
-	limits.most = 3;
+	limits.max_records = 3;
 	Quarantine quarantine{limits};
 	TimePoint now{std::chrono::hours(1)};
-	CHECK_FALSE(quarantine.Add({RequestPrint{0}, "a"}, now));
-	for (uint64_t i = 1; i <= 9; i++) quarantine.Add({RequestPrint{i}, "a"}, now);
+	CHECK_FALSE(quarantine.Add({RequestFingerprint{0}, "a"}, now));
+	for (uint64_t i = 1; i <= 9; i++) quarantine.Add({RequestFingerprint{i}, "a"}, now);
 	CHECK(quarantine.All().size() == 3);
 	CHECK(quarantine.IsFull());
 }
 
-TEST_CASE("Quarantine - a request that is quarantined is refused at once: new, waiting, and before a second send")
+TEST_CASE("Quarantine - a quarantined request is rejected at once: when new, when waiting, and before a retry")
 {
 	Dispatcher dispatcher(DispatchLimits{}, MakeRouter("headroom", 0));
 	TimePoint now{std::chrono::hours(1)};
 	std::vector<ModelNumber> models{ModelNumber{0}};
 	TargetNumber first = dispatcher.Targets().Configure("first", "hall", models, false);
 	TargetNumber second = dispatcher.Targets().Configure("second", "hall", models, false);
-	dispatcher.Targets().SetUnreported(first, 1);
-	dispatcher.Targets().SetUnreported(second, 1);
-	auto submit = [&](uint64_t id, uint64_t print) {
+	dispatcher.Targets().SetServiceCapacity(first, 1);
+	dispatcher.Targets().SetServiceCapacity(second, 1);
+	auto submit = [&](uint64_t id, uint64_t fingerprint) {
 		CallSpec call;
 		call.id = CallId{id};
-		call.print = RequestPrint{print};
+		call.fingerprint = RequestFingerprint{fingerprint};
 		call.generated = false;
 		call.arrived = now;
 		call.deadline = now + std::chrono::seconds(5);
@@ -219,101 +219,102 @@
 	CHECK(submit(1, 7).sends.size() == 1);
 	CHECK(submit(2, 8).sends.size() == 1);
 	CHECK(submit(3, 7).sends.empty());
-	dispatcher.Suspicions().Add({RequestPrint{7}, "a"}, now);
-	CHECK(dispatcher.OnSuspicionChanged(now).give_ups.empty());
-	dispatcher.Suspicions().Add({RequestPrint{7}, "b"}, now);
-	// The one that waits is refused, with the time for which it is held back.
-	Decisions waiting = dispatcher.OnSuspicionChanged(now);
-	REQUIRE(waiting.give_ups.size() == 1);
-	CHECK(waiting.give_ups[0].call == CallId{3});
-	CHECK(waiting.give_ups[0].reason == GiveUpReason::Quarantined);
-	CHECK(waiting.give_ups[0].retry_after == QuarantineLimits{}.held_back);
-	// The one that was sent is not sent again, though it may be repeated.
-	Decisions ended = dispatcher.OnSendEnded(CallId{1}, SendEnd::Lost, now);
-	REQUIRE(ended.give_ups.size() == 1);
-	CHECK(ended.give_ups[0].reason == GiveUpReason::Quarantined);
-	REQUIRE(submit(4, 7).give_ups.size() == 1);
-	CHECK(submit(5, 9).give_ups.empty());
-	CHECK_FALSE(dispatcher.ChooseMove(CallId{1}, {}, now).has_value());
+	dispatcher.QuarantineState().Add({RequestFingerprint{7}, "a"}, now);
+	CHECK(dispatcher.OnQuarantineChanged(now).rejections.empty());
+	dispatcher.QuarantineState().Add({RequestFingerprint{7}, "b"}, now);
+	// The waiting call is rejected with the time for which it is held back.
+	Decisions waiting = dispatcher.OnQuarantineChanged(now);
+	REQUIRE(waiting.rejections.size() == 1);
+	CHECK(waiting.rejections[0].call == CallId{3});
+	CHECK(waiting.rejections[0].reason == RejectReason::Quarantined);
+	CHECK(waiting.rejections[0].retry_after == QuarantineLimits{}.holdback);
+	// The call that was sent is not sent again, although it may be repeated.
+	Decisions crashed = dispatcher.OnSendEnded(CallId{1}, SendOutcome::Lost, now);
+	REQUIRE(crashed.rejections.size() == 1);
+	CHECK(crashed.rejections[0].reason == RejectReason::Quarantined);
+	REQUIRE(submit(4, 7).rejections.size() == 1);
+	CHECK(submit(5, 9).rejections.empty());
+	CHECK_FALSE(dispatcher.ChooseMigrationTarget(CallId{1}, {}, now).has_value());
 }
 
 namespace {
 
-/** Ends in a store whose answers the test gives. */
-struct RecordsWorld {
+/** Crash records in a store whose answers the test controls. */
+struct CrashRecordsHarness {
 	void Pass(Duration time)
 	{
 		this->now += time;
 		this->records.OnTick(this->now);
 	}
 
-	/** @return The rows \a ends, as the store tells them. */
-	static std::vector<StoredRow> Rows(const std::vector<EndRecord> &ends, bool deleted = false)
+	/** @return The rows of \a records as read from the store. */
+	static std::vector<StoredRow> Rows(const std::vector<CrashRecord> &records, bool deleted = false)
 	{
 		std::vector<StoredRow> rows;
-		for (const EndRecord &end : ends) rows.push_back({EndKey(end), "", 5, deleted});
+		for (const CrashRecord &record : records) rows.push_back({CrashKey(record), "", 5, deleted});
 		return rows;
 	}
 
-	HandStore store;                ///< Store.
-	std::vector<EndRecord> added;   ///< Told as added.
-	std::vector<EndRecord> removed; ///< Told as removed.
-	TimePoint now = MonotonicNow(); ///< Clock.
-	EndRecords records{this->store, WatchLimits{}, EndRecordLimits{}, "g1",
-	                   [this](const std::vector<EndRecord> &more, const std::vector<EndRecord> &gone, TimePoint) {
-		                   this->added.insert(this->added.end(), more.begin(), more.end());
-		                   this->removed.insert(this->removed.end(), gone.begin(), gone.end());
-	                   }}; ///< Under test.
+	ManualStore store;                ///< Fake store.
+	std::vector<CrashRecord> added;   ///< Records reported as added.
+	std::vector<CrashRecord> removed; ///< Records reported as removed.
+	TimePoint now = MonotonicNow();   ///< Simulated time.
+	CrashRecordStore records{
+	        this->store, WatchLimits{}, CrashRecordLimits{}, "g1",
+	        [this](const std::vector<CrashRecord> &new_records, const std::vector<CrashRecord> &removed_records, TimePoint) {
+		        this->added.insert(this->added.end(), new_records.begin(), new_records.end());
+		        this->removed.insert(this->removed.end(), removed_records.begin(), removed_records.end());
+	        }}; ///< Crash records under test.
 };
 
 } // namespace
 
-TEST_CASE("Quarantine - ends are written until the store has taken them, however often it fails, and are bounded while it is away")
+TEST_CASE("Quarantine - crash records are written until the store accepts them, and are bounded while it is unavailable")
 {
-	RecordsWorld world;
-	EndRecord end{RequestPrint{7}, "engine@5"};
-	CHECK(world.records.Add(end));
-	world.Pass(std::chrono::milliseconds(25));
-	REQUIRE(world.store.writes.size() == 1);
-	CHECK(ParseEndKey(world.store.writes[0].key) == end);
-	// Nothing was done; then no answer at all; then it is done.
-	world.store.writes[0].done(StoreWrite::NotDone);
-	world.Pass(std::chrono::milliseconds(400));
-	REQUIRE(world.store.writes.size() == 2);
-	world.Pass(std::chrono::milliseconds(600));
-	REQUIRE(world.store.writes.size() == 3);
-	world.store.writes[1].done(StoreWrite::Done);
-	CHECK(world.records.Waiting() == 1);
-	world.store.writes[2].done(StoreWrite::Done);
-	CHECK(world.records.Waiting() == 0);
-	CHECK(world.records.Holds(end));
-	world.records.Remove(end);
-	world.Pass(std::chrono::milliseconds(25));
-	REQUIRE(world.store.removals.size() == 1);
-	world.store.removals[0].done(StoreWrite::Done);
-	CHECK_FALSE(world.records.Holds(end));
-	for (uint64_t i = 1; i < 1000; i++) static_cast<void>(world.records.Add({RequestPrint{i}, "x"}));
-	CHECK(world.records.Waiting() == EndRecordLimits{}.most_waiting);
+	CrashRecordsHarness harness;
+	CrashRecord record{RequestFingerprint{7}, "engine@5"};
+	CHECK(harness.records.Add(record));
+	harness.Pass(std::chrono::milliseconds(25));
+	REQUIRE(harness.store.writes.size() == 1);
+	CHECK(ParseCrashKey(harness.store.writes[0].key) == record);
+	// The first write is not done, the second gets no answer, the third is done.
+	harness.store.writes[0].done(StoreWriteResult::NotDone);
+	harness.Pass(std::chrono::milliseconds(400));
+	REQUIRE(harness.store.writes.size() == 2);
+	harness.Pass(std::chrono::milliseconds(600));
+	REQUIRE(harness.store.writes.size() == 3);
+	harness.store.writes[1].done(StoreWriteResult::Done);
+	CHECK(harness.records.Waiting() == 1);
+	harness.store.writes[2].done(StoreWriteResult::Done);
+	CHECK(harness.records.Waiting() == 0);
+	CHECK(harness.records.Holds(record));
+	harness.records.Remove(record);
+	harness.Pass(std::chrono::milliseconds(25));
+	REQUIRE(harness.store.removals.size() == 1);
+	harness.store.removals[0].done(StoreWriteResult::Done);
+	CHECK_FALSE(harness.records.Holds(record));
+	for (uint64_t i = 1; i < 1000; i++) static_cast<void>(harness.records.Add({RequestFingerprint{i}, "x"}));
+	CHECK(harness.records.Waiting() == CrashRecordLimits{}.max_pending);
 }
 
-TEST_CASE("Quarantine - what others add and remove is told once, rows that can't be read name nothing and the others hold")
+TEST_CASE("Quarantine - changes by other instances are reported once, and unreadable rows are skipped")
 {
-	RecordsWorld world;
-	EndRecord one{RequestPrint{7}, "a"};
-	EndRecord two{RequestPrint{7}, "b/c@1"};
-	std::vector<StoredRow> rows = RecordsWorld::Rows({one, two});
+	CrashRecordsHarness harness;
+	CrashRecord one{RequestFingerprint{7}, "a"};
+	CrashRecord two{RequestFingerprint{7}, "b/c@1"};
+	std::vector<StoredRow> rows = CrashRecordsHarness::Rows({one, two});
 	rows.insert(rows.begin() + 1, {"not a key", "", 5, false});
 	rows.push_back({"0000000000000007/", "", 5, false});
-	world.records.Watch().on_changes(rows, world.now);
-	CHECK(world.added == std::vector<EndRecord>{one, two});
-	world.records.Watch().on_changes(rows, world.now);
-	CHECK(world.added.size() == 2);
-	world.records.Watch().on_changes(RecordsWorld::Rows({one}, true), world.now);
-	CHECK(world.removed == std::vector<EndRecord>{one});
-	// A whole read that lacks an end has seen it go; one that this instance is still to write has not gone.
-	EndRecord own{RequestPrint{9}, "a"};
-	CHECK(world.records.Add(own));
-	world.records.Watch().on_all({}, world.now);
-	CHECK(world.removed == std::vector<EndRecord>{one, two});
-	CHECK(world.records.Holds(own));
+	harness.records.Watch().on_changes(rows, harness.now);
+	CHECK(harness.added == std::vector<CrashRecord>{one, two});
+	harness.records.Watch().on_changes(rows, harness.now);
+	CHECK(harness.added.size() == 2);
+	harness.records.Watch().on_changes(CrashRecordsHarness::Rows({one}, true), harness.now);
+	CHECK(harness.removed == std::vector<CrashRecord>{one});
+	// A full read without a record means that it was removed, unless this instance has still to write it.
+	CrashRecord own{RequestFingerprint{9}, "a"};
+	CHECK(harness.records.Add(own));
+	harness.records.Watch().on_snapshot({}, harness.now);
+	CHECK(harness.removed == std::vector<CrashRecord>{one, two});
+	CHECK(harness.records.Holds(own));
 }
--- a/src/tests/request_test.cpp
+++ b/src/tests/request_test.cpp
@@ -1,54 +1,55 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file request_test.cpp Callers' requests, targets' reports, metrics and steps: checked and bounded. */
+/** @file request_test.cpp Guards against malformed requests and reports that are accepted, and call traces and metrics that grow forever.
+ */
 
+#include "instance/call_trace.h"
 #include "instance/completion_request.h"
-#include "instance/event_ring.h"
-#include "instance/target_watch.h"
+#include "instance/target_poller.h"
 #include "metrics/metrics.h"
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
 using namespace cottonspool;
 
-/** @return The name of the field that is wrong in \a body, or an empty text. */
-static std::string WrongWith(const std::string &body, const char *path = "/v1/completions")
+/** @return The error for the request \a body, or an empty string if it is valid. */
+static std::string ErrorFor(const std::string &body, const char *path = "/v1/completions")
 {
 	auto parsed = ParseCompletion(HttpRequest{"POST", path, "", {}, body});
 	return parsed ? "" : parsed.error().reason;
 }
 
-TEST_CASE("Completions - each wrong field is named")
+TEST_CASE("Completions - the error names the invalid field")
 {
-	CHECK(WrongWith("{") == "bad-body");
-	CHECK(WrongWith("[]") == "bad-body");
-	CHECK(WrongWith(R"({"prompt":"x"})") == "bad-model");
-	CHECK(WrongWith(R"({"model":"m","prompt":7})") == "bad-prompt");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","stream":"yes"})") == "bad-stream");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","max_tokens":-1})") == "bad-max_tokens");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","max_tokens":1.5})") == "bad-max_tokens");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","n":2})") == "bad-n");
-	CHECK(WrongWith(R"({"model":"m","messages":[]})", "/v1/chat/completions") == "bad-messages");
-	CHECK(WrongWith(R"({"model":"m","messages":[{"content":"x"}]})", "/v1/chat/completions") == "bad-messages");
-	CHECK(WrongWith(R"({"model":"m","prompt":"x","max_tokens":5})").empty());
+	CHECK(ErrorFor("{") == "bad-body");
+	CHECK(ErrorFor("[]") == "bad-body");
+	CHECK(ErrorFor(R"({"prompt":"x"})") == "bad-model");
+	CHECK(ErrorFor(R"({"model":"m","prompt":7})") == "bad-prompt");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","stream":"yes"})") == "bad-stream");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","max_tokens":-1})") == "bad-max_tokens");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","max_tokens":1.5})") == "bad-max_tokens");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","n":2})") == "bad-n");
+	CHECK(ErrorFor(R"({"model":"m","messages":[]})", "/v1/chat/completions") == "bad-messages");
+	CHECK(ErrorFor(R"({"model":"m","messages":[{"content":"x"}]})", "/v1/chat/completions") == "bad-messages");
+	CHECK(ErrorFor(R"({"model":"m","prompt":"x","max_tokens":5})").empty());
 }
 
 TEST_CASE("Completions - a caller cannot set the engine's priority, and the engine always streams")
 {
 	auto parsed = ParseCompletion(HttpRequest{"POST", "/v1/completions", "", {}, R"({"model":"m","prompt":"x","priority":999})"});
 	REQUIRE(parsed.has_value());
-	std::string body = EngineBody(parsed.value(), 7);
+	std::string body = FormatEngineBody(parsed.value(), 7);
 	CHECK(body.find("999") == std::string::npos);
 	CHECK(body.find("\"priority\":7}") != std::string::npos);
 	CHECK(body.find("\"stream\":true") != std::string::npos);
 }
 
-TEST_CASE("Parsers of outside input - any bytes are an error at worst")
+TEST_CASE("Completions - the parsers of external input handle arbitrary bytes")
 {
 	bool good = rc::check("bytes", [](const std::string &bytes) {
-		(void)WrongWith(bytes);
-		(void)WrongWith(R"({"model":"m","prompt":)" + bytes + "}");
-		(void)ParsePiece(bytes);
+		(void)ErrorFor(bytes);
+		(void)ErrorFor(R"({"model":"m","prompt":)" + bytes + "}");
+		(void)ParseCompletionChunk(bytes);
 		ReportedState state;
 		(void)ParseLoadReport(bytes, &state);
 		(void)ParseLoadReport(R"({"sequence":1,"capacity_tokens":2,"used_tokens":)" + bytes + "}", &state);
@@ -57,27 +58,27 @@
 	CHECK(good);
 }
 
-TEST_CASE("Failures - say what was wrong, whether it ran, and when to come back")
+TEST_CASE("Failures - the body contains the execution state and the retry time")
 {
-	CallFailure failure{503, "wait-too-long", "given up", RanState::No, std::chrono::milliseconds(1500)};
-	std::string body = FailureBody(failure, "r1");
+	CallFailure failure{503, "wait-too-long", "given up", ExecutionState::No, std::chrono::milliseconds(1500)};
+	std::string body = FormatFailureBody(failure, "r1");
 	CHECK(body.find("\"ran\":\"no\"") != std::string::npos);
 	CHECK(body.find("\"retry_after_seconds\":1.5") != std::string::npos);
-	CHECK(FailureEvent(failure, "r1").starts_with("event: error\ndata: {"));
+	CHECK(FormatFailureEvent(failure, "r1").starts_with("event: error\ndata: {"));
 }
 
-TEST_CASE("Steps - are bounded per call and in calls")
+TEST_CASE("Traces - the number of calls and of events per call is limited")
 {
-	EventRing ring(2);
+	CallTraceBuffer ring(2);
 	for (int i = 0; i < 100; i++) ring.Add("a", TimePoint{}, "step");
-	CHECK(ring.Find("a").size() == EventRing::MAX_EVENTS);
+	CHECK(ring.Find("a").size() == CallTraceBuffer::MAX_EVENTS);
 	ring.Add("b", TimePoint{}, "x");
 	ring.Add("c", TimePoint{}, "x");
 	CHECK(ring.Find("a").empty());
 	CHECK(ring.Find("c").size() == 1);
 }
 
-TEST_CASE("Metrics - histograms per class and account, the number of accounts bounded")
+TEST_CASE("Metrics - histograms by class and account, with a limited number of accounts")
 {
 	Metrics metrics(2);
 	for (int i = 1; i <= 1000; i++) {
--- a/src/tests/route_table_test.cpp
+++ b/src/tests/route_table_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file route_table_test.cpp Routes, weights and keys of the configuration in force. */
+/** @file route_table_test.cpp Route lookup, weighted pools and account keys follow the newest configuration. */
 
 #include "decision/route_table.h"
 #include <doctest/doctest.h>
@@ -16,16 +16,16 @@
 	configuration.version = version;
 	configuration.routes.push_back({.name = "all", .host = "a.example", .path_prefix = "/", .pools = {{"x", 1}}});
 	configuration.routes.push_back({.name = "deep", .host = "a.example", .path_prefix = "/p/q/", .pools = {{"x", 3}, {"y", 1}}});
-	configuration.routes.push_back({.name = "open", .host = "b.example", .path_prefix = "/p/", .pools = {{"x", 0}}, .needs_key = false});
+	configuration.routes.push_back({.name = "open", .host = "b.example", .path_prefix = "/p/", .pools = {{"x", 0}}, .requires_key = false});
 	configuration.pools.push_back({.name = "x"});
-	configuration.accounts.push_back({.name = "one", .keys = {"k1", "k2"}, .rank = 2});
+	configuration.accounts.push_back({.name = "one", .keys = {"k1", "k2"}, .priority_level = 2});
 	configuration.has_accounts = true;
 	return configuration;
 }
 
 } // namespace
 
-TEST_CASE("Routes - the longest prefix of the host wins, and only whole parts of the path count")
+TEST_CASE("Routes - the longest prefix of the host wins, and only complete path segments match")
 {
 	RouteTable table;
 	REQUIRE(table.Apply(Sample(1)));
@@ -38,7 +38,7 @@
 	CHECK(table.FindRoute("a.example", "no-slash") == nullptr);
 }
 
-TEST_CASE("Routes - a configuration never goes back")
+TEST_CASE("Routes - a configuration never replaces a newer one")
 {
 	bool good = rc::check("forward", [](const std::vector<uint8_t> &versions) {
 		RouteTable table;
@@ -56,7 +56,7 @@
 	CHECK(good);
 }
 
-TEST_CASE("Routes - pools are drawn by weight, and one without weight gets nothing")
+TEST_CASE("Routes - pools are chosen by weight, and a pool without weight gets nothing")
 {
 	RouteTable table;
 	table.Apply(Sample(1));
@@ -67,16 +67,16 @@
 	CHECK(RouteTable::ChoosePool(*table.FindRoute("b.example", "/p/"), 0.5).empty());
 }
 
-TEST_CASE("Routes - keys name their account, and an unknown key must not run")
+TEST_CASE("Routes - keys identify their account, and unknown keys are rejected")
 {
 	RouteTable table;
 	table.Apply(Sample(1));
 	const Route &route = *table.FindRoute("a.example", "/");
 	const ClientAccount *account = nullptr;
-	CHECK(table.CheckKey(route, "k2", &account) == KeyVerdict::Known);
+	CHECK(table.CheckKey(route, "k2", &account) == KeyCheckResult::Known);
 	CHECK(account->name == "one");
-	CHECK(table.CheckKey(route, "k3", &account) == KeyVerdict::Unknown);
-	CHECK(table.CheckKey(route, "", &account) == KeyVerdict::Unknown);
-	CHECK(table.CheckKey(*table.FindRoute("b.example", "/p/"), "k3", &account) == KeyVerdict::NotNeeded);
+	CHECK(table.CheckKey(route, "k3", &account) == KeyCheckResult::Unknown);
+	CHECK(table.CheckKey(route, "", &account) == KeyCheckResult::Unknown);
+	CHECK(table.CheckKey(*table.FindRoute("b.example", "/p/"), "k3", &account) == KeyCheckResult::NotNeeded);
 	CHECK(account == nullptr);
 }
--- a/src/tests/target_health_test.cpp
+++ b/src/tests/target_health_test.cpp
@@ -1,6 +1,6 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file target_health_test.cpp Targets that fail and targets that cannot be reached are taken out, the better ones last. */
+/** @file target_health_test.cpp Guards against ejection of too many targets, of the wrong ones, or without a way back. */
 
 #include "decision/target_table.h"
 #include <doctest/doctest.h>
@@ -9,39 +9,39 @@
 
 namespace {
 
-/** Three plain services of one pool. */
-struct HealthWorld {
-	LengthEstimate lengths{{}};              ///< Not used by plain services.
-	TargetTable targets{{}, lengths};        ///< Targets.
-	TimePoint now{std::chrono::seconds(10)}; ///< Time.
-	std::vector<TargetNumber> all;           ///< Numbers.
-	uint64_t next = 1;                       ///< Next call.
+/** A target table with three services in one pool. */
+struct HealthHarness {
+	LengthEstimate lengths{{}};              ///< Not used for services.
+	TargetTable targets{{}, lengths};        ///< Table under test.
+	TimePoint now{std::chrono::seconds(10)}; ///< Simulated time.
+	std::vector<TargetNumber> all;           ///< The services.
+	uint64_t next = 1;                       ///< Id of the next call.
 
-	HealthWorld()
+	HealthHarness()
 	{
 		for (const char *name : {"a", "b", "c"}) {
 			this->all.push_back(this->targets.Configure(name, "hall", {ModelNumber{0}}, false));
-			this->targets.SetUnreported(this->all.back(), 6);
+			this->targets.SetServiceCapacity(this->all.back(), 6);
 		}
 	}
 
-	/** \a times calls are sent to the target \a index and end with \a conduct. */
-	void Calls(size_t index, TargetConduct conduct, int times)
+	/** Send \a times calls to the target \a index and end them with \a result. */
+	void EndCalls(size_t index, SendResult result, int times)
 	{
 		for (int i = 0; i < times; i++) {
 			CallSpec call;
 			call.id = CallId{this->next++};
 			call.generated = false;
 			this->targets.OnSent(this->all[index], call, this->now);
-			this->targets.OnEnded(this->all[index], call.id, conduct, this->now);
+			this->targets.OnEnded(this->all[index], call.id, result, this->now);
 		}
 	}
 
 	/** @return Whether the target \a index may get calls. */
-	bool IsUsable(size_t index) const { return this->targets.Get(this->all[index]).bounds.Judge(this->now, false).IsFree(); }
+	bool IsUsable(size_t index) const { return this->targets.Get(this->all[index]).restrictions.CheckAdmission(this->now, false).IsFree(); }
 };
 
-/** @return A generation with \a id. */
+/** @return A generation with the given id. */
 CallSpec MakeCall(uint64_t id)
 {
 	CallSpec call;
@@ -52,54 +52,54 @@
 
 } // namespace
 
-TEST_CASE("Targets - one that cannot be reached goes, and one that only failed comes back for it")
+TEST_CASE("Targets - an unreachable target is ejected and reinstates targets that only failed")
 {
-	HealthWorld world;
-	world.Calls(0, TargetConduct::Failed, 3);
-	CHECK_FALSE(world.IsUsable(0));
-	world.Calls(1, TargetConduct::Unreachable, 2);
-	CHECK_FALSE(world.IsUsable(1));
-	CHECK(world.IsUsable(0));
-	world.Calls(2, TargetConduct::Unreachable, 2);
-	CHECK_FALSE(world.IsUsable(2));
-	CHECK(world.IsUsable(0));
+	HealthHarness harness;
+	harness.EndCalls(0, SendResult::Failed, 3);
+	CHECK_FALSE(harness.IsUsable(0));
+	harness.EndCalls(1, SendResult::Unreachable, 2);
+	CHECK_FALSE(harness.IsUsable(1));
+	CHECK(harness.IsUsable(0));
+	harness.EndCalls(2, SendResult::Unreachable, 2);
+	CHECK_FALSE(harness.IsUsable(2));
+	CHECK(harness.IsUsable(0));
 }
 
-TEST_CASE("Targets - the last one that is left stays, and one that answers again is taken back")
+TEST_CASE("Targets - the last usable target is not ejected, and one that answers again is reinstated")
 {
-	HealthWorld world;
-	for (size_t i = 0; i < 3; i++) world.Calls(i, TargetConduct::Unreachable, 2);
-	CHECK(world.IsUsable(2));
-	world.now += std::chrono::seconds(2);
-	CHECK(world.IsUsable(0));
-	world.Calls(0, TargetConduct::Well, 1);
-	world.Calls(2, TargetConduct::Unreachable, 1);
-	CHECK_FALSE(world.IsUsable(2));
-	CHECK(world.IsUsable(0));
+	HealthHarness harness;
+	for (size_t i = 0; i < 3; i++) harness.EndCalls(i, SendResult::Unreachable, 2);
+	CHECK(harness.IsUsable(2));
+	harness.now += std::chrono::seconds(2);
+	CHECK(harness.IsUsable(0));
+	harness.EndCalls(0, SendResult::Answered, 1);
+	harness.EndCalls(2, SendResult::Unreachable, 1);
+	CHECK_FALSE(harness.IsUsable(2));
+	CHECK(harness.IsUsable(0));
 }
 
-TEST_CASE("Targets - one that was ejected is tried again, whatever calls of peers, copies and moves pass there meanwhile")
+TEST_CASE("Targets - an ejected target is probed again despite peers' calls and migrations")
 {
-	HealthWorld world;
-	world.Calls(0, TargetConduct::Failed, 3);
-	CHECK_FALSE(world.IsUsable(0));
+	HealthHarness harness;
+	harness.EndCalls(0, SendResult::Failed, 3);
+	CHECK_FALSE(harness.IsUsable(0));
 	CallSpec foreign;
 	foreign.id = CallId{1ULL << 62};
-	world.targets.OnForeignSent(world.all[0], foreign, world.now);
-	world.now += std::chrono::seconds(2);
-	CHECK(world.IsUsable(0));
-	world.targets.OnForeignEnded(world.all[0], foreign.id, world.now);
-	CHECK(world.IsUsable(0));
-	// An own call finds out; until then no other goes there.
+	harness.targets.OnPeerCallSent(harness.all[0], foreign, harness.now);
+	harness.now += std::chrono::seconds(2);
+	CHECK(harness.IsUsable(0));
+	harness.targets.OnPeerCallEnded(harness.all[0], foreign.id, harness.now);
+	CHECK(harness.IsUsable(0));
+	// A call of this instance is the probe; until it ends, no other call is sent.
 	CallSpec own;
 	own.id = CallId{77};
-	world.targets.OnSent(world.all[0], own, world.now);
-	CHECK_FALSE(world.IsUsable(0));
-	world.targets.OnMoved(world.all[0], world.all[1], own.id, world.now);
-	CHECK(world.IsUsable(0));
+	harness.targets.OnSent(harness.all[0], own, harness.now);
+	CHECK_FALSE(harness.IsUsable(0));
+	harness.targets.OnMigrated(harness.all[0], harness.all[1], own.id, harness.now);
+	CHECK(harness.IsUsable(0));
 }
 
-TEST_CASE("Targets - a failing target is ejected, probed by one call, and taken back")
+TEST_CASE("Targets - a failing target is ejected, probed by one call, and reinstated")
 {
 	LengthEstimate lengths({});
 	TargetTable targets({}, lengths);
@@ -113,18 +113,18 @@
 	targets.OnReport(other, report, now);
 	for (uint64_t i = 0; i < 3; i++) {
 		targets.OnSent(number, MakeCall(i), now);
-		targets.OnEnded(number, CallId{i}, TargetConduct::Failed, now);
+		targets.OnEnded(number, CallId{i}, SendResult::Failed, now);
 	}
-	CHECK_FALSE(targets.Get(number).bounds.Judge(now, false).IsFree());
+	CHECK_FALSE(targets.Get(number).restrictions.CheckAdmission(now, false).IsFree());
 	for (uint64_t i = 3; i < 9; i++) {
 		targets.OnSent(other, MakeCall(i), now);
-		targets.OnEnded(other, CallId{i}, TargetConduct::Failed, now);
+		targets.OnEnded(other, CallId{i}, SendResult::Failed, now);
 	}
-	CHECK(targets.Get(other).bounds.Judge(now, false).IsFree()); // Never more than half are ejected.
+	CHECK(targets.Get(other).restrictions.CheckAdmission(now, false).IsFree()); // At most half of the targets are ejected.
 	now += std::chrono::milliseconds(1100);
-	CHECK(targets.Get(number).bounds.Judge(now, false).IsFree());
+	CHECK(targets.Get(number).restrictions.CheckAdmission(now, false).IsFree());
 	targets.OnSent(number, MakeCall(10), now);
-	CHECK_FALSE(targets.Get(number).bounds.Judge(now, false).IsFree());
-	targets.OnEnded(number, CallId{10}, TargetConduct::Well, now);
-	CHECK(targets.Get(number).bounds.Judge(now, false).IsFree());
+	CHECK_FALSE(targets.Get(number).restrictions.CheckAdmission(now, false).IsFree());
+	targets.OnEnded(number, CallId{10}, SendResult::Answered, now);
+	CHECK(targets.Get(number).restrictions.CheckAdmission(now, false).IsFree());
 }
--- a/tests/standins/clock_shift.cpp
+++ b/tests/standins/clock_shift.cpp
@@ -1,18 +1,18 @@
 /* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
 
-/** @file clock_shift.cpp A wall clock that tests can set: loaded before the C library into a program under test. */
+/** @file clock_shift.cpp Library for LD_PRELOAD that shifts the clocks of a program under test. */
 
 #include <cstdio>
 #include <cstdlib>
 #include <ctime>
 #include <dlfcn.h>
 
-static constexpr long MS_PER_S = 1000;       ///< Milliseconds in a second.
-static constexpr long NS_PER_MS = 1000000;   ///< Nanoseconds in a millisecond.
-static constexpr long NS_PER_S = 1000000000; ///< Nanoseconds in a second.
+static constexpr long MS_PER_S = 1000;
+static constexpr long NS_PER_MS = 1000000;
+static constexpr long NS_PER_S = 1000000000;
 
-/** @return By how many milliseconds the file that the variable \a name names shifts a clock. */
-static long Shift(const char *name)
+/** @return The number in the file whose path is in the environment variable \a name; 0 without one. */
+static long ReadShiftMs(const char *name)
 {
 	const char *path = getenv(name);
 	FILE *file = path == nullptr ? nullptr : fopen(path, "re");
@@ -24,8 +24,8 @@
 }
 
 /**
- * Takes the C library's place: the time of day is shifted, and the clock that counts suspension goes on by the time for which the machine
- * is said to have been suspended. The steady clock and timers stand still meanwhile, as they do on a machine that is.
+ * Replaces the function of the C library. CLOCK_REALTIME is shifted by both variables, and CLOCK_BOOTTIME by the simulated time of
+ * suspension. CLOCK_MONOTONIC and timers are not shifted, as they do not count suspension on a real machine either.
  */
 extern "C" int clock_gettime(clockid_t clock, struct timespec *time)
 {
@@ -33,8 +33,8 @@
 	static auto real = reinterpret_cast<Function>(dlsym(RTLD_NEXT, "clock_gettime"));
 	int result = real(clock, time);
 	if (result != 0 || (clock != CLOCK_REALTIME && clock != CLOCK_BOOTTIME)) return result;
-	long shift = Shift("COTTONSPOOL_TEST_SUSPENDED");
-	if (clock == CLOCK_REALTIME) shift += Shift("COTTONSPOOL_TEST_CLOCK");
+	long shift = ReadShiftMs("COTTONSPOOL_TEST_SUSPENDED");
+	if (clock == CLOCK_REALTIME) shift += ReadShiftMs("COTTONSPOOL_TEST_CLOCK");
 	time->tv_sec += shift / MS_PER_S;
 	time->tv_nsec += (shift % MS_PER_S) * NS_PER_MS;
 	if (time->tv_nsec < 0) {
--- /dev/null
+++ b/tests/standins/simulation_base.h
@@ -0,0 +1,195 @@
+/* This file is part of cottonspool. It is under the MIT licence; see LICENSE. */
+
+/** @file simulation_base.h Simulation of the users' platform: a store with a change feed, engines and services. */
+
+#pragma once
+
+#include "net/http_front.h"
+#include "standin_func.h"
+#include <map>
+#include <set>
+
+namespace cottonspool {
+
+using Exchange = std::shared_ptr<FrontExchange>;
+
+/** The platform's store: versioned rows, a long-polling change feed, and simulated outages. */
+class SimulatedStore {
+public:
+	explicit SimulatedStore(uv_loop_t *loop) : loop(loop) {}
+
+	/** Write a row. */
+	void Put(const std::string &table, const std::string &key, const std::string &value);
+
+	/** Delete a row. */
+	void Remove(const std::string &table, const std::string &key);
+
+	/** Handle a request of an instance. @return False if its path is not one of the store. */
+	bool Handle(const Exchange &exchange);
+
+	/** Back up all rows. */
+	void TakeBackup();
+
+	/** Restore the backup: later writes are lost and their versions are assigned again. Waiting requests are reset. */
+	void RestoreBackup();
+
+	/** Write again the rows of \a table that a restore lost or reverted. */
+	void RewriteRows(const std::string &table);
+
+	std::string mode = "up"; ///< "up", "busy" (503), "silent" (no answer), "away" (reset), "compact" (history compacted, once) or "lose"
+	                         ///< (writes take effect without an answer).
+	int64_t slow_ms = 0;     ///< Delay of answers, in milliseconds.
+	std::map<std::string, std::string> address_overrides; ///< Replacements for addresses in rows, to route connections through a proxy.
+	uint64_t calls = 0;                                   ///< Number of received requests.
+
+private:
+	/** One row; a deleted one is kept for the feed. */
+	struct Row {
+		std::string value;    ///< Value.
+		uint64_t version = 0; ///< Version of the last write.
+		bool deleted = false; ///< The row was deleted.
+	};
+
+	/** A waiting feed request. */
+	struct Waiting {
+		Exchange exchange; ///< Request and answer.
+		std::string table; ///< Name of the table.
+		uint64_t since;    ///< Version after which changes are requested.
+		int64_t until;     ///< Time at which it is answered even without rows.
+	};
+
+	using Tables = std::map<std::string, std::map<std::string, Row>>;
+
+	/** Content of a backup. */
+	struct Backup {
+		Tables tables;        ///< All rows.
+		uint64_t version = 0; ///< Version counter.
+	};
+
+	void Reply(const Exchange &exchange, int status, const Json &body) const;
+	HttpHeaders Headers() const;
+	/** @return The rows of \a table written after version \a since. */
+	Json RowsOf(const std::string &table, uint64_t since, bool with_deleted) const;
+	/** @return \a value with the first matching address replaced. */
+	std::string WithAddressOverrides(const std::string &value) const;
+	/** Answer a request as the mode demands. */
+	void Answer(const Exchange &exchange);
+	void Get(const Exchange &exchange, const std::string &query);
+	void Feed(const Exchange &exchange, const std::string &query);
+	void Transact(const Exchange &exchange);
+	/** Answer the feed requests that have new rows or whose time is up. */
+	void AnswerWaiting();
+
+	uv_loop_t *loop;            ///< Event loop.
+	Tables tables;              ///< Rows by table and key.
+	uint64_t version = 0;       ///< Version counter of the store.
+	uint64_t epoch = 1;         ///< Increases with each restore.
+	Backup backup;              ///< Last backup.
+	Tables newest;              ///< Last write of each row, including writes that a restore lost.
+	std::list<Waiting> waiting; ///< Waiting feed requests, and requests that never get an answer.
+	bool timer_running = false; ///< The timer for waiting requests was started.
+};
+
+/** Events recorded by all targets, for the checks of scenarios. */
+struct SimulationRecord {
+	Json runs = Json::array();                                      ///< Executed requests: request, target, resumed.
+	Json late = Json::array();                                      ///< Requests that arrived long after the target announced its drain.
+	std::map<std::string, std::pair<std::string, uint64_t>> copies; ///< KV cache copies by handle: request and number of events.
+	std::map<std::string, int64_t> resumed_at;                      ///< When a request was resumed on another engine.
+	Json overlaps = Json::array(); ///< Time for which the previous engine kept generating after that, in milliseconds.
+	uint64_t reports = 0;          ///< Number of load reports given out.
+	Json arrivals = Json::array(); ///< Requests at targets with a rate limit or pause: target, request, time.
+	Json pauses = Json::array();   ///< Requested pauses: target, start, end.
+	Json limits = Json::array();   ///< Announced rate limits: target, requests per second (0 for none), time.
+	Json crashes = Json::array();  ///< Crashes: request, target, time.
+	uint64_t next_handle = 1;      ///< Number of the next handle.
+};
+
+/** A simulated engine or service. */
+class SimulatedTarget {
+public:
+	SimulatedTarget(uv_loop_t *loop, SimulatedStore &store, SimulationRecord &record, std::string id, std::string pool, std::string hall,
+	                bool engine);
+
+	/** Start listening and write the target's row. */
+	void Start();
+
+	/** @return The address (IP:PORT). */
+	std::string Address() const { return "127.0.0.1:" + std::to_string(this->port); }
+
+	/** @return Whether the target is running. */
+	bool IsAlive() const { return this->front != nullptr; }
+
+	/** Start draining. @param silently Delete the row instead of changing its state. */
+	void StartDraining(bool silently);
+
+	/** Start draining, announced only in answer headers. */
+	void DrainByHeader();
+
+	/** Stop for good: reset all connections and delete the row. */
+	void Kill();
+
+	/** Crash: reset all connections, keep the row, and restart after \a back_ms with the same name and address. */
+	void Crash(uint64_t back_ms);
+
+	/** Restart under the same name at another port, while connections of the previous incarnation stay open without an answer. */
+	void Hang();
+
+	/** Write the row, as a heartbeat does. */
+	void WriteHeartbeat();
+
+	std::string id;         ///< Name; the key of its row.
+	int64_t cold_ms = 0;    ///< Remaining cold start time written to the row, in milliseconds.
+	double error_ratio = 0; ///< Fraction of answers that are 500.
+	std::string corruption; ///< "reset" truncates and resets answers; empty for none.
+	std::string limit;      ///< Rate limit announced in answers; empty for none.
+	int64_t pause_ms = 0;   ///< Pause to request with the next rejection, in milliseconds; 0 for none.
+
+private:
+	/** A running generation. */
+	struct Run {
+		Exchange exchange;   ///< Request and answer.
+		std::string attempt; ///< Id of the request.
+		uint64_t made = 0;   ///< Number of sent events.
+		uint64_t length = 0; ///< Total number of events.
+		int64_t next_at = 0; ///< Due time of the next event.
+	};
+
+	void Listen();
+	/** Crash shortly after the request \a attempt has started. */
+	void CrashDuring(const std::string &attempt);
+	void Handle(const Exchange &exchange);
+	/** Handle a request to an engine: start a generation, or resume one from a KV cache copy. */
+	void Generate(const Exchange &exchange, const std::string &attempt);
+	/** Start streaming a run. */
+	void Begin(Run run);
+	/** Handle a request to a service. */
+	void Serve(const Exchange &exchange, const std::string &attempt);
+	/** @return The headers of an answer, with rate limit and drain announcement. */
+	HttpHeaders Headers(const std::string &attempt);
+	/** Reject a request during a pause, and begin a pause that is due. @return Whether it was rejected. */
+	bool RejectWhilePaused(const Exchange &exchange, const std::string &attempt);
+	/** Copy the KV cache of a run, so that another engine can resume it. */
+	void MigrateRun(const Exchange &exchange);
+	/** Send the events that are due. */
+	void Step();
+
+	uv_loop_t *loop;                                     ///< Event loop.
+	SimulatedStore &store;                               ///< Store of the platform.
+	SimulationRecord &record;                            ///< Shared record of events.
+	std::string pool;                                    ///< Pool that the target belongs to.
+	std::string hall;                                    ///< Data hall.
+	bool engine;                                         ///< It is an engine, which streams its answers.
+	std::unique_ptr<HttpFront> front;                    ///< HTTP server; null while stopped.
+	std::vector<std::unique_ptr<HttpFront>> hung_fronts; ///< HTTP servers of previous incarnations, whose connections stay open.
+	uint16_t port = 0;                                   ///< Port of the current or last incarnation.
+	std::list<Run> running;                              ///< Running generations.
+	bool draining = false;                               ///< The row announces the drain.
+	bool drains_by_header = false;                       ///< Only answer headers announce the drain.
+	int64_t drain_started_at = 0;                        ///< When the drain was announced; 0 for not yet.
+	int64_t paused_until = 0;                            ///< End of the requested pause.
+	uint64_t answers = 0;                                ///< Counter of answers and rows.
+	int64_t started_at = 0;                              ///< Start time of this incarnation.
+};
+
+} // namespace cottonspool
